--- a/crates/ratchet/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -238,7 +238,7 @@
         let log = Log::new(saved);
         hard.commit = hard.commit.min(log.last()).max(given);
         let safe = (hard.term, hard.standing, hard.vote);
-        let mut ratchet = Ratchet {
+        let mut consensus = Ratchet {
             me,
             disk,
             timing,
@@ -270,10 +270,10 @@
             #[cfg(test)]
             fault: None,
         };
-        if ratchet.campaigns() {
-            ratchet.due = now + ratchet.draw(timing.election);
+        if consensus.campaigns() {
+            consensus.due = now + consensus.draw(timing.election);
         }
-        ratchet
+        consensus
     }
 
     pub fn leader(&self) -> Option<Member> {
--- a/crates/ratchet/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -37,7 +37,7 @@
     disk: Disk,
     saved: Saved,
     write: Option<Write>,
-    ratchet: Ratchet,
+    consensus: Ratchet,
     wake: Micros,
     applied: u64,
 }
@@ -165,10 +165,10 @@
     }
 
     fn node(&self, node: usize, disk: Disk, saved: Saved) -> Node {
-        let mut ratchet = Ratchet::new(member(node), disk, saved.clone(), 0, TIMING, NOW);
-        ratchet.fault = self.fault;
+        let mut consensus = Ratchet::new(member(node), disk, saved.clone(), 0, TIMING, NOW);
+        consensus.fault = self.fault;
         let applied = saved.snapshot.index;
-        Node { disk, saved, write: None, ratchet, wake: NOW, applied }
+        Node { disk, saved, write: None, consensus, wake: NOW, applied }
     }
 
     /// A process begins on what the disk holds; what it had asked for before is nobody's any more.
@@ -203,7 +203,7 @@
         }
         for (n, node) in self.nodes.iter().enumerate() {
             let (node, left) = (&node.1, &self.left);
-            let leads = node.ratchet.role() == Role::Leader;
+            let leads = node.consensus.role() == Role::Leader;
             if node.write.is_some() {
                 steps.push(Step::Synced(n));
             }
@@ -225,10 +225,10 @@
             if left.wipes > 0 {
                 steps.push(Step::Wipe(n));
             }
-            if left.folds > 0 && node.applied > node.ratchet.snapshot().index {
+            if left.folds > 0 && node.applied > node.consensus.snapshot().index {
                 steps.push(Step::Fold(n));
             }
-            if left.leaves > 0 && node.ratchet.standing() {
+            if left.leaves > 0 && node.consensus.standing() {
                 steps.push(Step::Leave(n));
             }
         }
@@ -257,7 +257,7 @@
             }
             Step::Time(n) => {
                 let node = &self.nodes[n].1;
-                match node.ratchet.role() {
+                match node.consensus.role() {
                     Role::Leader => self.left.beats -= 1,
                     _ => self.left.times -= 1,
                 }
@@ -313,17 +313,17 @@
     fn input(&mut self, n: usize, now: Micros, input: Input) {
         let mut node = (*self.nodes[n].1).clone();
         let mut out = Output::default();
-        let led = node.ratchet.role() == Role::Leader;
-        node.ratchet.handle(now, input, &mut out);
-        node.ratchet.rebase(now - NOW);
+        let led = node.consensus.role() == Role::Leader;
+        node.consensus.handle(now, input, &mut out);
+        node.consensus.rebase(now - NOW);
         node.wake = out.wake_at.saturating_sub(now - NOW);
         let mut judge = (*self.judge).clone();
-        if node.ratchet.role() == Role::Leader {
-            let term = node.ratchet.term();
+        if node.consensus.role() == Role::Leader {
+            let term = node.consensus.term();
             if *judge.leaders.entry(term).or_insert(n) != n {
                 self.wrong(format!("two leaders of term {term}"));
             }
-            let lacks = judge.committed.iter().find(|e| !node.ratchet.holds(e.index, e.term));
+            let lacks = judge.committed.iter().find(|e| !node.consensus.holds(e.index, e.term));
             if let (false, Some(entry)) = (led, lacks) {
                 self.wrong(format!("{n} leads term {term} without entry {}, which counts", entry.index));
             }
@@ -443,7 +443,7 @@
     fn waits(&mut self, n: usize) {
         let mut node = (*self.nodes[n].1).clone();
         let by = TIMING.election.0 - 1;
-        node.ratchet.rebase(by);
+        node.consensus.rebase(by);
         node.wake -= by;
         self.nodes[n] = Sum::of(node);
     }
@@ -625,7 +625,7 @@
         world.says_leaving(members - 1);
         world.calm(&others);
         world.times(0, &others);
-        assert!(world.nodes[members].1.ratchet.standing() && world.judge.committed.len() == 2);
+        assert!(world.nodes[members].1.consensus.standing() && world.judge.committed.len() == 2);
         (1..=members).for_each(|n| world.waits(n));
         world
     }
@@ -638,7 +638,7 @@
         world.times(0, &[0, members + 1]);
         world.waits(lags);
         world.says_leaving(lags);
-        assert!(world.nodes[0].1.ratchet.roster().members.contains_key(&member(members + 1)));
+        assert!(world.nodes[0].1.consensus.roster().members.contains_key(&member(members + 1)));
         world
     }
 
@@ -854,7 +854,7 @@
     every_course(true, 0);
 }
 
-/// In a release build, some minutes and under 3 GB: `cargo test -p curlewfront-ratchet --release -- --ignored deeper`
+/// In a release build, some minutes and under 3 GB: `cargo test -p curlewfront-consensus --release -- --ignored deeper`
 #[test]
 #[ignore = "long"]
 fn no_deeper_course_breaks_the_agreement() {
--- a/crates/ratchet/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -59,7 +59,7 @@
     life: u64,
     disk: Disk,
     saved: Saved,
-    ratchet: Option<Ratchet>,
+    consensus: Option<Ratchet>,
     write: Option<(Write, bool)>,
     hung: bool,
     sync: (Micros, Micros),
@@ -137,7 +137,7 @@
             life: 0,
             disk,
             saved,
-            ratchet: None,
+            consensus: None,
             write: None,
             hung: false,
             sync: (MS, 3 * MS),
@@ -271,7 +271,7 @@
         let seed = self.rng.u64(..);
         let now = self.now + self.nodes[node].ahead;
         let n = &mut self.nodes[node];
-        if n.life != life || n.ratchet.is_some() {
+        if n.life != life || n.consensus.is_some() {
             return;
         }
         if n.saved == Saved::blank() && self.fault == Some(Fault::WipedVotes) && node < self.founders {
@@ -281,9 +281,9 @@
         n.wake = Micros::MAX;
         n.applied = n.saved.snapshot.index;
         n.state = unpack(&n.saved.snapshot.data, self.pad);
-        let mut ratchet = Ratchet::new(member(node), n.disk, n.saved.clone(), seed, self.timing, now);
-        ratchet.fault = self.fault;
-        n.ratchet = Some(ratchet);
+        let mut consensus = Ratchet::new(member(node), n.disk, n.saved.clone(), seed, self.timing, now);
+        consensus.fault = self.fault;
+        n.consensus = Some(consensus);
         let seeds = self.seeds.clone().unwrap_or_else(|| (0..self.founders).collect());
         self.input(node, Input::Seeds(seeds.into_iter().map(member).collect()));
         if let Some(size) = self.size {
@@ -296,7 +296,7 @@
         let kept = self.rng.bool();
         let n = &mut self.nodes[node];
         n.life += 1;
-        n.ratchet = None;
+        n.consensus = None;
         if let Some((write, _)) = n.write.take()
             && kept
             && !n.hung
@@ -318,12 +318,12 @@
         // One that has never been of the group may come at any time; one that a roster names counts
         // as down until it stands and has that on disk.
         let named = |at: usize, disk: Disk| {
-            let rosters = self.nodes.iter().filter_map(|n| n.ratchet.as_ref()).map(Ratchet::roster);
+            let rosters = self.nodes.iter().filter_map(|n| n.consensus.as_ref()).map(Ratchet::roster);
             rosters.filter(|r| r.names(member(at), disk)).count() > 0
         };
         let well = |(at, n): (usize, &Node)| {
             let never = (FIRST..FIRST + 10).contains(&n.disk) && !named(at, n.disk);
-            never || n.saved.hard.standing && n.ratchet.as_ref().is_some_and(|r| r.role() != Role::Out)
+            never || n.saved.hard.standing && n.consensus.as_ref().is_some_and(|r| r.role() != Role::Out)
         };
         if !self.nodes.iter().enumerate().all(well) || !named(node, self.nodes[node].disk) {
             return;
@@ -359,10 +359,10 @@
         let mut out = Output::default();
         let n = &mut self.nodes[node];
         let now = self.now + n.ahead;
-        let Some(ratchet) = &mut n.ratchet else { return };
-        ratchet.handle(now, input, &mut out);
-        if ratchet.role() == Role::Leader {
-            let (term, leads) = (ratchet.term(), &mut self.judge.leaders);
+        let Some(consensus) = &mut n.consensus else { return };
+        consensus.handle(now, input, &mut out);
+        if consensus.role() == Role::Leader {
+            let (term, leads) = (consensus.term(), &mut self.judge.leaders);
             if *leads.entry(term).or_insert(node) != node {
                 self.wrong = Some(format!("two leaders of term {term}"));
             }
@@ -477,12 +477,12 @@
         self.at(self.now + pause, Event::Client);
         for _ in 0..self.rng.usize(1..4) {
             let any = self.rng.usize(..self.nodes.len());
-            let leads = |n: &Node| n.ratchet.as_ref().is_some_and(|r| r.role() == Role::Leader);
+            let leads = |n: &Node| n.consensus.as_ref().is_some_and(|r| r.role() == Role::Leader);
             let leading: Vec<usize> = (0..self.nodes.len()).filter(|n| leads(&self.nodes[*n])).collect();
             let node = if leading.is_empty() { any } else { leading[self.rng.usize(..leading.len())] };
             self.ticket += 1;
             let ticket = self.ticket;
-            if self.nodes[node].ratchet.is_none() {
+            if self.nodes[node].consensus.is_none() {
                 continue;
             }
             if self.rng.bool() {
@@ -495,7 +495,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.ratchet.as_ref().filter(|r| r.role() == Role::Leader).map(Ratchet::term);
+        let leads = |n: &Node| n.consensus.as_ref().filter(|r| r.role() == Role::Leader).map(Ratchet::term);
         (0..self.nodes.len())
             .filter(|n| leads(&self.nodes[*n]).is_some())
             .max_by_key(|n| leads(&self.nodes[*n]))
@@ -566,7 +566,7 @@
             11 => {
                 self.nodes[node].write = None;
                 self.input(node, Input::WriteFailed);
-                if self.nodes[node].ratchet.is_some() {
+                if self.nodes[node].consensus.is_some() {
                     self.restart(node, 100 * MS, 1000 * MS);
                 }
             }
@@ -592,7 +592,7 @@
     }
 
     fn trap(&mut self, leader: usize) {
-        let leads = |n: usize| self.nodes[n].ratchet.as_ref().is_some_and(|r| r.role() == Role::Leader);
+        let leads = |n: usize| self.nodes[n].consensus.as_ref().is_some_and(|r| r.role() == Role::Leader);
         let others = (0..self.nodes.len()).filter(|n| *n != leader);
         let voters = match others.clone().find(|n| leads(*n)) {
             Some(next) => others.filter(|n| *n != next).collect(),
@@ -625,7 +625,7 @@
         self.cuts.clear();
         for node in 0..self.nodes.len() {
             self.step(Event::Thaw { node });
-            let out = self.nodes[node].ratchet.as_ref().is_none_or(|r| r.role() == Role::Out);
+            let out = self.nodes[node].consensus.as_ref().is_none_or(|r| r.role() == Role::Out);
             if out {
                 self.restart(node, 0, 10 * MS);
             }
@@ -648,8 +648,8 @@
         }
         let state = &self.nodes[0].state;
         for (at, node) in self.nodes.iter().enumerate() {
-            let ratchet = node.ratchet.as_ref().expect("all run");
-            if !ratchet.standing() || !ratchet.roster().names(member(at), node.disk) {
+            let consensus = node.consensus.as_ref().expect("all run");
+            if !consensus.standing() || !consensus.roster().names(member(at), node.disk) {
                 wrong(format!("node {at} does not stand"));
             }
             if node.state != *state {
--- a/crates/ratchet/src/sim/catching_up.rs
+++ b/crates/consensus/src/sim/catching_up.rs
@@ -27,7 +27,7 @@
     life: u64,
     disk: Disk,
     saved: Saved,
-    ratchet: Option<Ratchet>,
+    consensus: Option<Ratchet>,
     write: Option<Write>,
     wake: Micros,
     applied: u64,
@@ -137,9 +137,9 @@
     }
 
     fn add(&mut self, disk: Disk, saved: Saved) -> usize {
-        let (ratchet, write, wake) = (None, None, Micros::MAX);
+        let (consensus, write, wake) = (None, None, Micros::MAX);
         let (life, applied, since, syncs, least, leads) = (0, 0, (0, 0), 0, 0, false);
-        let node = Node { life, disk, saved, ratchet, write, wake, applied, since, syncs, least, leads };
+        let node = Node { life, disk, saved, consensus, write, wake, applied, since, syncs, least, leads };
         self.nodes.push(node);
         self.nodes.len() - 1
     }
@@ -150,7 +150,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.ratchet.as_ref().filter(|r| r.role() == Role::Leader).map(Ratchet::term);
+        let leads = |n: &Node| n.consensus.as_ref().filter(|r| r.role() == Role::Leader).map(Ratchet::term);
         let all = (0..self.nodes.len()).filter(|n| leads(&self.nodes[*n]).is_some());
         all.max_by_key(|n| leads(&self.nodes[*n]))
     }
@@ -164,7 +164,7 @@
     fn end(&mut self, node: usize, kept: bool) {
         let n = &mut self.nodes[node];
         n.life += 1;
-        n.ratchet = None;
+        n.consensus = None;
         if let Some(write) = n.write.take()
             && kept
         {
@@ -199,7 +199,7 @@
             }
             Event::Start { node, life } => {
                 let n = &mut self.nodes[node];
-                if n.life != life || n.ratchet.is_some() {
+                if n.life != life || n.consensus.is_some() {
                     return;
                 }
                 n.wake = Micros::MAX;
@@ -207,9 +207,10 @@
                 (n.least, n.leads) = (self.acked, false);
                 let timing = Timing { tail: self.terms.tail, part: 64 << 10, ..Timing::default() };
                 let seed = node as u64 + 7 * n.life;
-                let mut ratchet = Ratchet::new(member(node), n.disk, n.saved.clone(), seed, timing, self.now);
-                ratchet.fault = self.fault;
-                n.ratchet = Some(ratchet);
+                let mut consensus =
+                    Ratchet::new(member(node), n.disk, n.saved.clone(), seed, timing, self.now);
+                consensus.fault = self.fault;
+                n.consensus = Some(consensus);
                 let seeds = (0..self.nodes.len()).map(member).collect();
                 self.input(node, Input::Seeds(seeds));
             }
@@ -232,8 +233,8 @@
 
     fn input(&mut self, node: usize, input: Input) {
         let mut out = Output::default();
-        let Some(ratchet) = &mut self.nodes[node].ratchet else { return };
-        ratchet.handle(self.now, input, &mut out);
+        let Some(consensus) = &mut self.nodes[node].consensus else { return };
+        consensus.handle(self.now, input, &mut out);
         let life = self.nodes[node].life;
         if let Some(snapshot) = &out.installed {
             self.installed += 1;
@@ -316,7 +317,7 @@
     /// Who says to hold all that was acknowledged until lately, as a store judges it, does. Who stands knows a group.
     fn check_fresh(&mut self, node: usize) {
         let (acked, n) = (self.acked, &mut self.nodes[node]);
-        let Some(r) = &n.ratchet else { return };
+        let Some(r) = &n.consensus else { return };
         let leads = r.role() == Role::Leader;
         if leads && !n.leads {
             n.least = acked;
@@ -334,7 +335,7 @@
 
     fn send(&mut self, from: usize, to: Member, disk: Disk, message: &Message) {
         let to = to.octets()[3] as usize - 1;
-        if to >= self.nodes.len() || self.nodes[to].ratchet.is_none() {
+        if to >= self.nodes.len() || self.nodes[to].consensus.is_none() {
             return;
         }
         let bytes = encode(disk, message);
@@ -397,9 +398,9 @@
 
     /// It has all that is committed, a few entries that are under way excepted, and stands.
     fn level(&self, node: usize) -> bool {
-        let Some(ratchet) = &self.nodes[node].ratchet else { return false };
+        let Some(consensus) = &self.nodes[node].consensus else { return false };
         let top = self.committed.last_key_value().map_or(0, |(index, _)| *index);
-        ratchet.standing() && self.nodes[node].applied + 16 >= top && ratchet.leader().is_some()
+        consensus.standing() && self.nodes[node].applied + 16 >= top && consensus.leader().is_some()
     }
 }
 
@@ -574,8 +575,8 @@
         w.change(600);
         w.start(node);
         w.until(20 * SECOND, |w| w.level(node))?;
-        let ratchet = w.nodes[node].ratchet.as_ref().expect("runs");
-        Ok(ratchet.roster().names(member(other), 4711))
+        let consensus = w.nodes[node].consensus.as_ref().expect("runs");
+        Ok(consensus.roster().names(member(other), 4711))
     };
     assert_eq!(replaced(None), Ok(true));
     let e: String = replaced(Some(Fault::RosterLost)).expect_err("seen");
--- a/crates/ratchet/src/sim/members.rs
+++ b/crates/consensus/src/sim/members.rs
@@ -30,7 +30,7 @@
     }
 
     fn live(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].ratchet.is_some()).collect()
+        (0..self.nodes.len()).filter(|n| self.nodes[*n].consensus.is_some()).collect()
     }
 
     /// A machine at an address that nobody has had, told of those that are up now.
@@ -54,7 +54,7 @@
         if n.life != life {
             return;
         }
-        if self.now < until && n.ratchet.as_ref().is_some_and(Ratchet::is_being_replaced) {
+        if self.now < until && n.consensus.as_ref().is_some_and(Ratchet::is_being_replaced) {
             self.at(self.now + LINGER, Event::Stopping { node, life, until });
         } else {
             self.end(node);
@@ -64,7 +64,7 @@
     /// The leader, or any that votes.
     fn voter(&mut self) -> usize {
         let leader = self.leader();
-        let votes = |n: &usize| self.nodes[*n].ratchet.as_ref().is_some_and(Ratchet::standing);
+        let votes = |n: &usize| self.nodes[*n].consensus.as_ref().is_some_and(Ratchet::standing);
         let voters: Vec<usize> = self.live().into_iter().filter(votes).collect();
         match leader {
             Some(leader) if self.rng.bool() => leader,
@@ -75,14 +75,14 @@
     /// Since when every member of the last roster has it on its own disk that this counts.
     fn whole(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let ratchet = self.nodes[leader].ratchet.as_ref().expect("leads");
+        let consensus = self.nodes[leader].consensus.as_ref().expect("leads");
         let knows = |n: &usize| {
             let n = &self.nodes[*n];
-            n.saved.hard.standing && n.saved.roster() == ratchet.roster()
+            n.saved.hard.standing && n.saved.roster() == consensus.roster()
         };
-        let named = |n: &usize| ratchet.roster().names(super::member(*n), self.nodes[*n].disk);
+        let named = |n: &usize| consensus.roster().names(super::member(*n), self.nodes[*n].disk);
         let members: Vec<usize> = self.live().into_iter().filter(named).collect();
-        members.len() == ratchet.roster().members.len() && members.iter().all(knows)
+        members.len() == consensus.roster().members.len() && members.iter().all(knows)
     }
 
     /// One machine goes for good or is told to, and another takes its place; when that one started.
@@ -180,7 +180,7 @@
         let time = sim.until_acked();
         let what = |sim: &Sim| {
             let stands =
-                |n: &Node| n.ratchet.as_ref().map(|r| (r.role(), r.standing(), r.last(), r.commit()));
+                |n: &Node| n.consensus.as_ref().map(|r| (r.role(), r.standing(), r.last(), r.commit()));
             let nodes: Vec<_> = sim.nodes.iter().map(stands).collect();
             format!(
                 "round {round}, {gone} replaced, planned {planned}, then {loss}, at {}: {nodes:?}",
@@ -198,7 +198,7 @@
         sim.cuts.clear();
         sim.run(sim.now + 3000 * MS + SYNC);
         let out = sim.live().into_iter().filter(|n| {
-            sim.nodes[*n].ratchet.as_ref().is_some_and(|r| r.role() == Role::Out || !r.standing())
+            sim.nodes[*n].consensus.as_ref().is_some_and(|r| r.role() == Role::Out || !r.standing())
         });
         // Spares go, so that the group stays small.
         for node in out.collect::<Vec<_>>() {
@@ -269,7 +269,7 @@
                 let gone = sim.live()[0];
                 let (newcomer, start) = sim.replace(gone, turn % 2 == 0);
                 sim.run(start + SYNC);
-                let named = |n: usize| sim.nodes[n].ratchet.as_ref().is_some_and(Ratchet::standing);
+                let named = |n: usize| sim.nodes[n].consensus.as_ref().is_some_and(Ratchet::standing);
                 if !named(newcomer) || !sim.whole() || sim.live().len() != members {
                     return Err(format!("turn {turn}: {newcomer} is not a member for {gone}"));
                 }
@@ -317,7 +317,7 @@
     }
     let end = start + 60_000 * MS;
     let out = |sim: &Sim| {
-        let leader = sim.leader().and_then(|l| sim.nodes[l].ratchet.as_ref());
+        let leader = sim.leader().and_then(|l| sim.nodes[l].consensus.as_ref());
         leader.is_some_and(|r| !r.roster().members.contains_key(&super::member(gone)))
     };
     while !(out(&sim) && sim.whole()) && sim.now < end && sim.wrong.is_none() {
--- a/crates/ratchet/tests/disk.rs
+++ b/crates/consensus/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The store: what is synced stays, what cannot be read is refused by name, nothing starts afresh unsaid.
 
-use ratchet::disk::Store;
-use ratchet::{Entry, Hard, Member, Payload, Roster, Saved, Snapshot, Write};
+use consensus::disk::Store;
+use consensus::{Entry, Hard, Member, Payload, Roster, Saved, Snapshot, Write};
 use redb::StorageBackend;
 use std::io;
 use std::path::PathBuf;
--- a/crates/ratchet/tests/names.rs
+++ b/crates/consensus/tests/names.rs
@@ -1,7 +1,7 @@
 //! The names of a store's files, of which a loss of power may keep or lose each by itself until the folder is synced.
 
-use ratchet::disk::Store;
-use ratchet::{Entry, Hard, Member, Payload, Saved, Write};
+use consensus::disk::Store;
+use consensus::{Entry, Hard, Member, Payload, Saved, Write};
 use std::path::PathBuf;
 
 const ME: Member = Member::new(10, 0, 0, 1);
--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -4,7 +4,7 @@
 
 use crate::birth::Group;
 use crate::mirror::{Hard, LogEntry, Saved, Snap, Write};
-use ratchet::file;
+use consensus::file;
 use redb::backends::FileBackend;
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,7 @@
     pub disk: u64,
 }
 
-pub use ratchet::file::DiskError;
+pub use consensus::file::DiskError;
 
 pub struct Store {
     db: Database,
--- a/crates/planchest/src/chest.rs
+++ b/crates/planchest/src/chest.rs
@@ -1,10 +1,10 @@
 //! The store as a state machine: the agreement, the state that its log makes, and those who follow it. No I/O, no clock.
 
+use consensus::{Disk, Message, NotLeader, Payload, Ratchet, Role, Saved, Timing, Write};
 use rack::copy::Copy;
 use rack::state::{Command, Done, State};
 use rack::talk::{FRESH_US, FromStore, StorePeer, ToStore, Unsure};
 use rack::{Micros, Rev};
-use ratchet::{Disk, Message, NotLeader, Payload, Ratchet, Role, Saved, Timing, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -113,8 +113,8 @@
     me: Ipv4Addr,
     disk: Disk,
     now: Micros,
-    ratchet: Ratchet,
-    out: ratchet::Output,
+    consensus: Ratchet,
+    out: consensus::Output,
     pub copy: Copy,
     seeds: Vec<Ipv4Addr>,
     followers: BTreeMap<u64, Rev>,
@@ -161,13 +161,13 @@
         }
         state.rev = state.rev.max(saved.snapshot.index);
         let (snapshot_at, snapshot_bytes) = (state.rev, saved.snapshot.data.len());
-        let ratchet = Ratchet::new(me, disk, saved, life, Timing::default(), now);
+        let consensus = Ratchet::new(me, disk, saved, life, Timing::default(), now);
         let mut chest = Chest {
             me,
             disk,
             now,
-            ratchet,
-            out: ratchet::Output::default(),
+            consensus,
+            out: consensus::Output::default(),
             copy: Copy::of(state),
             seeds: seeds.clone(),
             followers: BTreeMap::new(),
@@ -188,7 +188,7 @@
             agreed: VecDeque::new(),
             fresh_at: None,
         };
-        chest.ratchet.handle(now, ratchet::Input::Seeds(seeds), &mut chest.out);
+        chest.consensus.handle(now, consensus::Input::Seeds(seeds), &mut chest.out);
         Ok(chest)
     }
 
@@ -198,7 +198,7 @@
 
     /// The other stores that it speaks with.
     pub fn fellows(&self) -> BTreeSet<Ipv4Addr> {
-        let members = self.ratchet.roster().members.keys().copied();
+        let members = self.consensus.roster().members.keys().copied();
         members.chain(self.seeds.iter().copied()).filter(|ip| *ip != self.me).collect()
     }
 
@@ -218,22 +218,22 @@
         self.now = self.now.max(now);
         if away {
             // It leads no longer, if nobody has answered meanwhile: what comes now must not be taken as if it did.
-            self.agree(ratchet::Input::Tick, out);
+            self.agree(consensus::Input::Tick, out);
         }
         match input {
-            Input::Tick => self.agree(ratchet::Input::Tick, out),
-            Input::Written(number) => self.agree(ratchet::Input::Written { number }, out),
-            Input::WriteFailed => self.agree(ratchet::Input::WriteFailed, out),
+            Input::Tick => self.agree(consensus::Input::Tick, out),
+            Input::Written(number) => self.agree(consensus::Input::Written { number }, out),
+            Input::WriteFailed => self.agree(consensus::Input::WriteFailed, out),
             Input::Stop => {
                 self.stops.get_or_insert((self.now, self.now + HAND_OVER_US));
-                self.agree(ratchet::Input::Yield, out);
+                self.agree(consensus::Input::Yield, out);
             }
             Input::Settings { size, seeds } => {
                 if let Some(size) = size {
-                    self.agree(ratchet::Input::Size(size), out);
+                    self.agree(consensus::Input::Size(size), out);
                 }
                 self.seeds = seeds.clone();
-                self.agree(ratchet::Input::Seeds(seeds), out);
+                self.agree(consensus::Input::Seeds(seeds), out);
             }
             Input::Peer(ip, peer) => self.peer(ip, peer, out),
             Input::Local(link, ToStore::Follow { rev }) => {
@@ -253,7 +253,7 @@
             }
             Input::Local(link, ToStore::Duty { ticket, term, command }) => {
                 let caller = Caller::Local { link, ticket };
-                match self.leads() && self.ratchet.term() == term {
+                match self.leads() && self.consensus.term() == term {
                     true => self.propose(caller, command, false, out),
                     false => self.tell(caller, Call::Propose, Err(Unsure::Not), out),
                 }
@@ -266,12 +266,12 @@
         if self.now >= self.ask_at {
             self.ask_at = self.now + ASK_US;
             // Spares ask, too: what was agreed and is here makes a copy fresh, whoever counts.
-            if self.ratchet.standing() || self.ratchet.leader().is_some() {
+            if self.consensus.standing() || self.consensus.leader().is_some() {
                 self.read(Caller::Own { asked: self.now }, true, out);
             }
         }
         if let Some((asked, at)) = &mut self.stops
-            && self.ratchet.is_being_replaced()
+            && self.consensus.is_being_replaced()
         {
             *at = (*at).max(self.now + LINGER_US).min(*asked + REPLACED_US);
         }
@@ -289,11 +289,11 @@
     /// Here if this store leads, else by who does; `hand_on`: it has not been handed on before.
     fn propose(&mut self, caller: Caller, command: Command, hand_on: bool, out: &mut Vec<Output>) {
         let ticket = self.ticket();
-        match self.ratchet.leader() {
+        match self.consensus.leader() {
             Some(leader) if leader == self.me => {
                 self.calls.insert(ticket, (caller, Call::Propose));
                 let data = postcard::to_stdvec(&command).expect("plain data");
-                self.agree(ratchet::Input::Propose { ticket, data }, out);
+                self.agree(consensus::Input::Propose { ticket, data }, out);
             }
             Some(leader) if hand_on => {
                 let until = self.now + HANDED_US;
@@ -306,10 +306,10 @@
 
     fn read(&mut self, caller: Caller, hand_on: bool, out: &mut Vec<Output>) {
         let ticket = self.ticket();
-        match self.ratchet.leader() {
+        match self.consensus.leader() {
             Some(leader) if leader == self.me => {
                 self.calls.insert(ticket, (caller, Call::Read));
-                self.agree(ratchet::Input::Read { ticket }, out);
+                self.agree(consensus::Input::Read { ticket }, out);
             }
             Some(leader) if hand_on => {
                 let until = self.now + HANDED_US;
@@ -353,7 +353,7 @@
         match peer {
             Peer::Iam { .. } => {}
             Peer::Agree { from_disk, message } => {
-                self.agree(ratchet::Input::Message { from: ip, from_disk, message }, out);
+                self.agree(consensus::Input::Message { from: ip, from_disk, message }, out);
             }
             Peer::Propose { ticket, command } => {
                 self.propose(Caller::Peer { ip, ticket }, command, false, out);
@@ -382,8 +382,8 @@
 
     // ---- the agreement ----
 
-    fn agree(&mut self, input: ratchet::Input, out: &mut Vec<Output>) {
-        self.ratchet.handle(self.now, input, &mut self.out);
+    fn agree(&mut self, input: consensus::Input, out: &mut Vec<Output>) {
+        self.consensus.handle(self.now, input, &mut self.out);
         let rev = self.copy.rev();
         let mut done = std::mem::take(&mut self.out);
         self.out.wake_at = done.wake_at;
@@ -391,7 +391,7 @@
             // Nothing of it goes to the disk, so that a program that can read it finds what was there before.
             self.unreadable = Some(why);
             (done.send, done.write) = (Vec::new(), None);
-            self.ratchet.handle(self.now, ratchet::Input::WriteFailed, &mut done);
+            self.consensus.handle(self.now, consensus::Input::WriteFailed, &mut done);
             self.out.wake_at = done.wake_at;
         }
         for (to, message) in done.send.drain(..) {
@@ -426,16 +426,16 @@
             let links: Vec<u64> = self.followers.keys().copied().collect();
             links.into_iter().for_each(|link| self.feed(link, out));
         }
-        let large = self.since_bytes >= SNAPSHOT_STATES * ratchet::enough(self.snapshot_bytes);
+        let large = self.since_bytes >= SNAPSHOT_STATES * consensus::enough(self.snapshot_bytes);
         if here >= self.snapshot_at + SNAPSHOT_EVERY || here > self.snapshot_at && large {
             let data = self.copy.state.write(self.now);
             (self.snapshot_at, self.snapshot_bytes, self.since_bytes) = (here, data.len(), 0);
-            self.agree(ratchet::Input::Snapshot { index: here, data }, out);
+            self.agree(consensus::Input::Snapshot { index: here, data }, out);
         }
     }
 
     /// Takes over what is agreed. Err: this program cannot read it; to go on without would be another state.
-    fn take_over(&mut self, done: &mut ratchet::Output) -> Result<(), String> {
+    fn take_over(&mut self, done: &mut consensus::Output) -> Result<(), String> {
         if let Some(snapshot) = done.installed.take() {
             let mut state = State::read(self.now, &snapshot.data)
                 .map_err(|why| format!("the others' state at entry {}: {why}", snapshot.index))?;
@@ -496,17 +496,17 @@
     }
 
     pub fn standing(&self) -> Standing {
-        Standing { leader: self.ratchet.leader(), term: self.ratchet.term(), fresh: self.fresh() }
+        Standing { leader: self.consensus.leader(), term: self.consensus.term(), fresh: self.fresh() }
     }
 
     pub fn leads(&self) -> bool {
-        self.ratchet.role() == Role::Leader
+        self.consensus.role() == Role::Leader
     }
 
     fn stand(&mut self, out: &mut Vec<Output>) {
         self.catch_up();
-        let core: Vec<Ipv4Addr> = self.ratchet.roster().members.keys().copied().collect();
-        let stands = (core, self.fresh(), self.leads(), self.ratchet.term());
+        let core: Vec<Ipv4Addr> = self.consensus.roster().members.keys().copied().collect();
+        let stands = (core, self.fresh(), self.leads(), self.consensus.term());
         if self.now < self.standing_at && self.stood.as_ref() == Some(&stands) {
             return;
         }
--- a/crates/planchest/src/lib.rs
+++ b/crates/planchest/src/lib.rs
@@ -1,4 +1,4 @@
-//! The store of configuration. Its decisions stand in [`chest`], around the agreement (`ratchet`); `main.rs` is the
+//! The store of configuration. Its decisions stand in [`chest`], around the agreement (`consensus`); `main.rs` is the
 //! shell around them.
 
 pub mod chest;
--- a/crates/planchest/src/main.rs
+++ b/crates/planchest/src/main.rs
@@ -1,11 +1,11 @@
 //! The shell of the store of configuration: links, disk and time around `planchest::chest`.
 
+use consensus::disk::Store;
+use consensus::{Saved, Write};
 use jig::settings::Settings;
 use miette::{Result, miette};
 use planchest::chest::{Chest, Input, Output, Peer, Standing};
 use rack::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
-use ratchet::disk::Store;
-use ratchet::{Saved, Write};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
@@ -101,7 +101,7 @@
             loop {
                 let done = match &store {
                     Some(open) => open.write(&write),
-                    None => Err(ratchet::disk::DiskError {
+                    None => Err(consensus::disk::DiskError {
                         file: dir.clone(),
                         what: "cannot be opened again".into(),
                         full: false,
--- a/crates/planchest/tests/catching_up.rs
+++ b/crates/planchest/tests/catching_up.rs
@@ -1,8 +1,8 @@
 //! A store that comes back: what it may say of itself before it has all, and what of a later program it refuses.
 
+use consensus::{Entry, Message, Payload, Roster, Saved};
 use planchest::chest::{Chest, Input, Output, Peer};
 use rack::state::{Command, State};
-use ratchet::{Entry, Message, Payload, Roster, Saved};
 use std::net::Ipv4Addr;
 
 const LEADER: Ipv4Addr = ip(1);
--- a/crates/planchest/tests/store.rs
+++ b/crates/planchest/tests/store.rs
@@ -1,11 +1,11 @@
 //! The store's folder in an operator's hands: checked, listed, backed up, put back, founded anew.
 
+use consensus::disk::{self, Store};
+use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
 use planchest::chest::{Chest, Input, Output};
 use planchest::store;
 use rack::state::{Command, State};
 use rack::talk::ToStore;
-use ratchet::disk::{self, Store};
-use ratchet::{Disk, Entry, Hard, Payload, Saved, Write};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
