--- a/crates/rack/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,4 +1,4 @@
-//! The rack: what all machines of one installation agree on ([`state`], [`booking`], [`orders`], [`rollout`]), the copies of it ([`copy`]), who
+//! The cluster: what all machines of one installation agree on ([`state`], [`booking`], [`orders`], [`rollout`]), the copies of it ([`copy`]), who
 //! follows one ([`follow`]), who watches whom ([`watch`]), the commands that change it, and the messages
 //! between curlewfront's own processes ([`talk`]). No I/O, no clock.
 //!
--- a/crates/rack/tests/booking.rs
+++ b/crates/cluster/tests/booking.rs
@@ -1,8 +1,8 @@
 //! Bookings in the agreed state: what is taken, what is refused, and how they are written down.
 
-use rack::booking::{BookChange, Booking, Bookings, Phase, Unbooked, Unused, divide};
-use rack::state::{Command, Done, FORMAT, NodeChange, State};
-use rack::talk::{Gossip, Lease};
+use cluster::booking::{BookChange, Booking, Bookings, Phase, Unbooked, Unused, divide};
+use cluster::state::{Command, Done, FORMAT, NodeChange, State};
+use cluster::talk::{Gossip, Lease};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/rack/tests/copy.rs
+++ b/crates/cluster/tests/copy.rs
@@ -1,9 +1,9 @@
 //! Those who follow a copy and come back after hundreds of changes: what they are sent, and that it makes them alike.
 
-use rack::copy::{Copy, Took};
-use rack::follow::Followers;
-use rack::state::{Change, Command, Node, State};
-use rack::talk::{Down, News};
+use cluster::copy::{Copy, Took};
+use cluster::follow::Followers;
+use cluster::state::{Change, Command, Node, State};
+use cluster::talk::{Down, News};
 use std::net::Ipv4Addr;
 
 const SECOND: u64 = 1_000_000;
--- a/crates/rack/tests/division.rs
+++ b/crates/cluster/tests/division.rs
@@ -1,7 +1,7 @@
 //! All courses of a small installation: divisions that are ordered, lost, late; proxies that hear, do not hear, are cut
 //! off and come back. However they meet, what the proxies hold together is never more than the booking.
 
-use rack::booking::{BookChange, Booking, Bookings, Unused};
+use cluster::booking::{BookChange, Booking, Bookings, Unused};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::Ipv4Addr;
 
--- a/crates/rack/tests/drill.rs
+++ b/crates/cluster/tests/drill.rs
@@ -1,7 +1,7 @@
 //! What is agreed on of drills: counts, order, ends, and states of an older form.
 
-use rack::drill::{Drill, DrillChange, Drills, Rows, Said};
-use rack::state::{Change, Command, Done, State};
+use cluster::drill::{Drill, DrillChange, Drills, Rows, Said};
+use cluster::state::{Change, Command, Done, State};
 use std::net::Ipv4Addr;
 
 const CONFIG: &str = r#"{"config_version":"00000001","limits":{},"route_list":{"column_set":["entity_name","host_name",
--- a/crates/rack/tests/orders.rs
+++ b/crates/cluster/tests/orders.rs
@@ -1,10 +1,10 @@
 //! One order, one answer: calls that come again, late, twice, beside others, and after much else was forgotten.
 
-use rack::booking::{BookChange, Booking, Unused};
-use rack::copy::Copy;
-use rack::drill::{Drill, DrillChange};
-use rack::orders::{MOST_CHANGES, MOST_SUBJECTS};
-use rack::state::{Change, Command, Done, State};
+use cluster::booking::{BookChange, Booking, Unused};
+use cluster::copy::Copy;
+use cluster::drill::{Drill, DrillChange};
+use cluster::orders::{MOST_CHANGES, MOST_SUBJECTS};
+use cluster::state::{Change, Command, Done, State};
 use std::collections::BTreeMap;
 
 fn body(version: u32, limit: u32) -> Vec<u8> {
@@ -214,7 +214,7 @@
     for total in [1u32, 255, 256, 300] {
         let calls: Vec<Change> = (0..total).map(|n| put(n, n + 1, 1)).collect();
         let first = total.saturating_sub(256);
-        let sum = |n: u32| (n + 1, rack::orders::fingerprint(&calls[n as usize]));
+        let sum = |n: u32| (n + 1, cluster::orders::fingerprint(&calls[n as usize]));
         let sums: Vec<(u32, u64)> = (first..total).map(sum).collect();
         let none: Vec<String> = Vec::new();
         let config = Some(body(total, 1));
@@ -338,7 +338,7 @@
     assert_eq!(apply(&mut state, book(0, 6, 0, 10)), Done::Taken);
     assert_eq!(
         apply(&mut state, book(0, 4, 0, 10)),
-        Done::Unbooked(rack::booking::Unbooked::Outdated { epoch: 1 })
+        Done::Unbooked(cluster::booking::Unbooked::Outdated { epoch: 1 })
     );
     assert_eq!(apply(&mut state, book(1, 4, 1, 10)), Done::Taken);
     let mut state = again(&state);
--- a/crates/rack/tests/rollout.rs
+++ b/crates/cluster/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! What is agreed on of rollouts: orders and their repeats, stages, whom a rollout lets serve, and how it is written down.
 
-use rack::rollout::{Declined, Order, Role, RolloutChange, Stage};
-use rack::state::{Change, Command, Done, Server, ServerChange, State};
+use cluster::rollout::{Declined, Order, Role, RolloutChange, Stage};
+use cluster::state::{Change, Command, Done, Server, ServerChange, State};
 use std::net::Ipv4Addr;
 
 const CONFIG: &str = r#"{"config_version":"00000001","limits":{},"route_list":{"column_set":["entity_name","host_name",
--- a/crates/dryfit/src/judge/vouched.rs
+++ b/crates/dryfit/src/judge/vouched.rs
@@ -4,7 +4,7 @@
 use crate::process::BEAT;
 use crate::record::{Host, Record, Vouched};
 use crate::{Micros, SECOND};
-use rack::talk::FRESH_US;
+use cluster::talk::FRESH_US;
 
 /// Beyond what a machine may go by: for its answer to reach the caller.
 const ON_ITS_WAY: Micros = SECOND / 2;
--- a/crates/dryfit/src/net.rs
+++ b/crates/dryfit/src/net.rs
@@ -4,8 +4,8 @@
 
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
+use cluster::talk::Here;
 use pegboard::calls;
-use rack::talk::Here;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
--- a/crates/dryfit/src/outside.rs
+++ b/crates/dryfit/src/outside.rs
@@ -8,9 +8,9 @@
 use crate::scenario::{Rooms, route_of};
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
+use cluster::booking::Phase;
 use jig::Config;
 use pegboard::calls;
-use rack::booking::Phase;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/dryfit/src/weigh.rs
+++ b/crates/dryfit/src/weigh.rs
@@ -2,6 +2,9 @@
 //! processor time, bytes and memory are counted. No link, no other process: what sockets cost is not in it.
 
 use crate::plan::{Plan, RoutePlan, TenantPlan};
+use cluster::copy::{Copy, Took};
+use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
+use cluster::talk::{Down, Gossip, News, Reading, Up, Usage, Use, tenant_key};
 use miette::{Result, miette};
 use nix::time::{ClockId, clock_gettime};
 use pegboard::meter::Meter;
@@ -9,9 +12,6 @@
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::front::{Front, Input};
-use rack::copy::{Copy, Took};
-use rack::state::{Change, Command, Node, NodeChange, Server, ServerChange};
-use rack::talk::{Down, Gossip, News, Reading, Up, Usage, Use, tenant_key};
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -190,7 +190,7 @@
     let before = heap.current_usage();
     heap.reset_peak_usage();
     let (done, us) = timed(|| other.apply(0, 4, Some(patch.clone())));
-    if done != rack::state::Done::Taken {
+    if done != cluster::state::Done::Taken {
         return Err(miette!("the patch is not taken: {done:?}"));
     }
     (w.patch.1, w.patch.2) = (us, heap.peak_usage() - before);
--- a/crates/pegboard/src/board.rs
+++ b/crates/pegboard/src/board.rs
@@ -11,18 +11,18 @@
 use crate::presence::Presence;
 use crate::rollouts::Tallies;
 use crate::show::View;
+use cluster::copy::{Copy, Took};
+use cluster::drill::{DrillChange, Rows, Said};
+use cluster::follow::Followers;
+use cluster::rollout::Tally;
+use cluster::state::{Change, Command, Done, Node, NodeChange, Server, ServerChange};
+use cluster::talk::{
+    Age, Down, FRESH_US, FromStore, Gossip, Head, News, Reading, Seen, Standing, ToStore, Unsure, Up, Usage,
+};
+use cluster::{Micros, Rev};
 use jig::api::{self, Beat, Call};
 use jig::config::if_match;
 use jig::drill::{Drill, Fault};
-use rack::copy::{Copy, Took};
-use rack::drill::{DrillChange, Rows, Said};
-use rack::follow::Followers;
-use rack::rollout::Tally;
-use rack::state::{Change, Command, Done, Node, NodeChange, Server, ServerChange};
-use rack::talk::{
-    Age, Down, FRESH_US, FromStore, Gossip, Head, News, Reading, Seen, Standing, ToStore, Unsure, Up, Usage,
-};
-use rack::{Micros, Rev};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/board/booking.rs
+++ b/crates/pegboard/src/board/booking.rs
@@ -3,13 +3,13 @@
 use super::{Board, CALL_US, Output};
 use crate::bookings::{Ground, full, rounded, show, unbooked};
 use crate::calls::{Answer, Request};
+use cluster::booking::{BookChange, Booking, DayMs, Phase, Unbooked, Unused};
+use cluster::state::Command;
 use jig::api::dry_run;
 use jig::booking::{Asked, Meant};
 use jig::config::if_match;
 use jig::facts::Trouble;
 use jzon::JsonValue;
-use rack::booking::{BookChange, Booking, DayMs, Phase, Unbooked, Unused};
-use rack::state::Command;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/board/rollout.rs
+++ b/crates/pegboard/src/board/rollout.rs
@@ -3,12 +3,12 @@
 use super::{Board, Wait};
 use crate::calls::{Answer, Request};
 use crate::rollouts::{Ground, Step, Summary, TimeRange};
+use cluster::Micros;
+use cluster::rollout::{Rollout, RolloutChange, Stage, Tally, tally_interval};
+use cluster::state::{Command, Server};
+use cluster::talk::ToStore;
 use jig::rollout::Order;
 use jzon::JsonValue;
-use rack::Micros;
-use rack::rollout::{Rollout, RolloutChange, Stage, Tally, tally_interval};
-use rack::state::{Command, Server};
-use rack::talk::ToStore;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/bookings.rs
+++ b/crates/pegboard/src/bookings.rs
@@ -4,18 +4,18 @@
 //! orders names the epoch that it builds on, so an order that comes late, or twice, has no effect.
 
 use crate::calls::Answer;
+use cluster::Micros;
+use cluster::booking::{BookChange, Booked, Booking, Bookings, DayMs, Phase, Unbooked, Unused, divide};
+use cluster::state::State;
 use jig::config::show_version;
 use jzon::JsonValue;
-use rack::Micros;
-use rack::booking::{BookChange, Booked, Booking, Bookings, DayMs, Phase, Unbooked, Unused, divide};
-use rack::state::State;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
 /// Of the slots that may be booked, one in so many stays for all others.
 const OTHERS: u32 = 4;
 /// Divisions of one booking lie so many beats apart, and never less than a settling: what the last one took away has
-/// bound everywhere before another one gives it to somebody (`crates/rack/tests/division.rs` has the course that would
+/// bound everywhere before another one gives it to somebody (`crates/cluster/tests/division.rs` has the course that would
 /// exceed the booking).
 const BEATS_APART: Micros = 2;
 /// A booking is divided, so that every proxy has taken up its part, so many beats and settlings before it opens.
--- a/crates/pegboard/src/calls.rs
+++ b/crates/pegboard/src/calls.rs
@@ -1,9 +1,9 @@
 //! Calls from outside, read far enough to be decided on, and the answers to them.
 
+use cluster::Micros;
+use cluster::rollout::Declined;
+use cluster::state::{Done, Node, Server};
 use jig::config::show_version;
-use rack::Micros;
-use rack::rollout::Declined;
-use rack::state::{Done, Node, Server};
 
 /// A call as it came.
 #[derive(Clone, Debug, Default)]
--- a/crates/pegboard/src/drills.rs
+++ b/crates/pegboard/src/drills.rs
@@ -1,9 +1,9 @@
 //! Until when drills may act, as far as this registry knows, on its own steady clock. The agreed state says that there is a
 //! drill, not until when: a log that is replayed would begin it anew. See docs/system/drills.md.
 
-use rack::drill::{DrillChange, Drills};
-use rack::talk::Lease;
-use rack::{Micros, Rev};
+use cluster::drill::{DrillChange, Drills};
+use cluster::talk::Lease;
+use cluster::{Micros, Rev};
 use std::collections::BTreeMap;
 
 /// A drill of which nobody can tell the end is ended after so many beats.
--- a/crates/pegboard/src/main.rs
+++ b/crates/pegboard/src/main.rs
@@ -1,11 +1,11 @@
 //! The shell of the registry: listeners and links around `pegboard::board`. It takes the outside calls for the store of
 //! configuration too.
 
+use cluster::Rev;
+use cluster::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
 use miette::{Result, miette};
 use pegboard::board::{Board, Input, Output, REPEAT_US, Terms};
 use pegboard::calls::{self, Request};
-use rack::Rev;
-use rack::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
--- a/crates/pegboard/src/meter.rs
+++ b/crates/pegboard/src/meter.rs
@@ -4,9 +4,9 @@
 //! A proxy that is not heard of counts as using its even share: it may. So a registry that is cut off from the others
 //! reads too much, never too little, and the proxies that follow it keep to less.
 
-use rack::Micros;
-use rack::state::State;
-use rack::talk::{Reading, Usage, Use, tenant_key};
+use cluster::Micros;
+use cluster::state::State;
+use cluster::talk::{Reading, Usage, Use, tenant_key};
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/presence.rs
+++ b/crates/pegboard/src/presence.rs
@@ -1,10 +1,10 @@
 //! Who is heard of: servers by their calls, proxies by their reports. Not agreed, only passed on: each registry tells
 //! the others what it heard, and judges for itself.
 
-use rack::Micros;
-use rack::state::{Node, State};
-use rack::talk::{Gossip, Seen};
-use rack::watch;
+use cluster::Micros;
+use cluster::state::{Node, State};
+use cluster::talk::{Gossip, Seen};
+use cluster::watch;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/rollouts.rs
+++ b/crates/pegboard/src/rollouts.rs
@@ -7,9 +7,9 @@
 mod summary;
 mod tallies;
 
+use cluster::Micros;
+use cluster::rollout::{Rollout, Stage};
 use evidence::{Evidence, Finding};
-use rack::Micros;
-use rack::rollout::{Rollout, Stage};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 pub use summary::{Summary, TimeRange};
--- a/crates/pegboard/src/rollouts/evidence.rs
+++ b/crates/pegboard/src/rollouts/evidence.rs
@@ -9,7 +9,7 @@
 //! deviation.
 
 use super::tallies::Interval;
-use rack::rollout::{Answers, RouteTally};
+use cluster::rollout::{Answers, RouteTally};
 use std::collections::BTreeSet;
 
 /// A good version may be reverted with this chance, were its servers alike.
--- a/crates/pegboard/src/rollouts/summary.rs
+++ b/crates/pegboard/src/rollouts/summary.rs
@@ -1,8 +1,8 @@
 //! What operators see of both versions while a rollout runs.
 
 use super::Tallies;
-use rack::rollout::{Answers, TIME_BUCKETS, time_bucket};
-use rack::{Micros, Rev};
+use cluster::rollout::{Answers, TIME_BUCKETS, time_bucket};
+use cluster::{Micros, Rev};
 
 /// A time that is in the last bucket.
 const MAX_TIME_US: Micros = 1 << 40;
--- a/crates/pegboard/src/rollouts/tallies.rs
+++ b/crates/pegboard/src/rollouts/tallies.rs
@@ -1,7 +1,7 @@
 //! What proxies have counted of running rollouts, as it came in.
 
-use rack::rollout::{Answers, Rollout, Rollouts, RouteTally, Tally};
-use rack::{Micros, Rev};
+use cluster::rollout::{Answers, Rollout, Rollouts, RouteTally, Tally};
+use cluster::{Micros, Rev};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/show.rs
+++ b/crates/pegboard/src/show.rs
@@ -3,12 +3,12 @@
 use crate::calls::Answer;
 use crate::drills::Leases;
 use crate::presence::Presence;
+use cluster::drill::Held;
+use cluster::state::{Node, State};
+use cluster::{Micros, Rev};
 use jig::config::show_version;
 use jig::drill::{Drill, Ran};
 use jzon::JsonValue;
-use rack::drill::Held;
-use rack::state::{Node, State};
-use rack::{Micros, Rev};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/tests/board.rs
+++ b/crates/pegboard/tests/board.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use cluster::state::{Command, Done, ServerChange};
+use cluster::talk::{FromStore, News, ToStore, Unsure, Up};
 use common::*;
 use pegboard::board::{Input, Output};
-use rack::state::{Command, Done, ServerChange};
-use rack::talk::{FromStore, News, ToStore, Unsure, Up};
 
 const A: &str = "10.9.2.1:80";
 
--- a/crates/pegboard/tests/bookings.rs
+++ b/crates/pegboard/tests/bookings.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
+use cluster::booking::{BookChange, Booking, Bookings, Phase, Unused, key};
+use cluster::state::{Change, Command, NodeChange};
+use cluster::talk::{Gossip, Seen, Up, Usage, Use};
 use common::*;
 use pegboard::board::{Input, Output};
 use pegboard::bookings::{Clocks, Duty};
-use rack::booking::{BookChange, Booking, Bookings, Phase, Unused, key};
-use rack::state::{Change, Command, NodeChange};
-use rack::talk::{Gossip, Seen, Up, Usage, Use};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     for n in 0..8 {
         let mut up = server(&format!("s{n}"), &format!("10.9.2.{n}:80"));
         if let Command::Servers(changes) = &mut up
-            && let rack::state::ServerChange::Up(s) = &mut changes[0]
+            && let cluster::state::ServerChange::Up(s) = &mut changes[0]
             && n % 2 == 1
         {
             s.zone = "south-a".into();
@@ -181,7 +181,7 @@
     day.r.lands(Command::Evacuate { zone: "south-a".into(), on: false });
     let cold = |left_ms| {
         let ids = (0..8).map(|n| format!("s{n}"));
-        Command::Servers(ids.map(|id| rack::state::ServerChange::Cold { id, left_ms }).collect())
+        Command::Servers(ids.map(|id| cluster::state::ServerChange::Cold { id, left_ms }).collect())
     };
     day.r.lands(cold(90_000));
     assert_eq!(day.put(&body(r#""flight_count":1"#, soon, later)).0, 409, "cold when it opens");
@@ -326,7 +326,7 @@
     };
     r.tell(Input::Proxy(1, Up::Report { rev: 0, head: None, seen: vec![], usage: vec![usage] }));
     r.wait(BEAT);
-    assert!(!r.out.iter().any(|o| matches!(o, Output::Proxy(_, rack::talk::Down::Meter(..)))));
+    assert!(!r.out.iter().any(|o| matches!(o, Output::Proxy(_, cluster::talk::Down::Meter(..)))));
 }
 
 // ---- all courses of a small installation ----
--- a/crates/pegboard/tests/common/mod.rs
+++ b/crates/pegboard/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! A registry whose store is played: what it proposes lands when the test says so.
 #![allow(dead_code)] // each test file uses a part of it
 
+use cluster::copy::Copy;
+use cluster::state::{Command, Done, Node, NodeChange, Server, ServerChange};
+use cluster::talk::{Down, FromStore, Gossip, News, Seen, ToStore, Unsure, Up, Usage};
 use pegboard::board::{Board, Input, Output, Terms};
 use pegboard::calls::Request;
-use rack::copy::Copy;
-use rack::state::{Command, Done, Node, NodeChange, Server, ServerChange};
-use rack::talk::{Down, FromStore, Gossip, News, Seen, ToStore, Unsure, Up, Usage};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/tests/cut_off.rs
+++ b/crates/pegboard/tests/cut_off.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use cluster::state::{Command, Done, NodeChange, ServerChange};
+use cluster::talk::{Down, FRESH_US, FromStore, Gossip, ToStore, Unsure, Up};
 use common::*;
 use pegboard::board::{Input, Output};
-use rack::state::{Command, Done, NodeChange, ServerChange};
-use rack::talk::{Down, FRESH_US, FromStore, Gossip, ToStore, Unsure, Up};
 
 const KNOWN: &str = "/api/instances/i-1";
 
--- a/crates/pegboard/tests/drills.rs
+++ b/crates/pegboard/tests/drills.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
+use cluster::drill::{DrillChange, Rows, Said};
+use cluster::state::{Change, Command};
+use cluster::talk::{Down, Gossip, Lease, Up};
 use common::*;
 use pegboard::board::{Input, Output};
-use rack::drill::{DrillChange, Rows, Said};
-use rack::state::{Change, Command};
-use rack::talk::{Down, Gossip, Lease, Up};
 
 fn registry() -> Registry {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
--- a/crates/pegboard/tests/meter.rs
+++ b/crates/pegboard/tests/meter.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
+use cluster::copy::Copy;
+use cluster::state::{Change, Command};
+use cluster::talk::{Down, Reading, Up, Usage, Use, tenant_key};
 use common::*;
 use pegboard::board::{Input, Output};
 use pegboard::meter::Meter;
-use rack::copy::Copy;
-use rack::state::{Change, Command};
-use rack::talk::{Down, Reading, Up, Usage, Use, tenant_key};
 
 fn commands() -> Vec<Command> {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
--- a/crates/pegboard/tests/rollout_errors/main.rs
+++ b/crates/pegboard/tests/rollout_errors/main.rs
@@ -3,8 +3,8 @@
 
 mod play;
 
+use cluster::rollout::Stage;
 use play::{Bad, Outcome, Scene, Trouble, Version, When, play};
-use rack::rollout::Stage;
 
 /// Constants of the verdict were chosen on the first seeds alone.
 const CHOSEN_ON: std::ops::Range<u64> = 0..40;
--- a/crates/pegboard/tests/rollout_errors/play.rs
+++ b/crates/pegboard/tests/rollout_errors/play.rs
@@ -1,9 +1,9 @@
 //! One rollout played on simulated time: clients, servers of two versions, proxies that send, count and tell, and the verdict.
 //! No sockets, no clock; the same seed plays the same.
 
+use cluster::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
 use fastrand::Rng;
 use pegboard::rollouts::{Ground, Tallies};
-use rack::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
 use std::net::Ipv4Addr;
 
 /// All times in ticks of so many microseconds.
--- a/crates/pegboard/tests/rollouts.rs
+++ b/crates/pegboard/tests/rollouts.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
+use cluster::rollout::{Answers, RolloutChange, RouteTally, Stage, Tally};
+use cluster::state::{Change, Command, ServerChange};
+use cluster::talk::{FromStore, Up};
 use common::*;
 use pegboard::board::Input;
-use rack::rollout::{Answers, RolloutChange, RouteTally, Stage, Tally};
-use rack::state::{Change, Command, ServerChange};
-use rack::talk::{FromStore, Up};
 
 const ORDER: &str = r#"{"service_ref":"heron","target_version":"v2","rollout_term_s":10}"#;
 const LINK: u64 = 5;
--- a/crates/pegboard/tests/show.rs
+++ b/crates/pegboard/tests/show.rs
@@ -1,10 +1,10 @@
 //! What the registry tells operators of itself, of servers and of proxies.
 
+use cluster::state::{Command, Node, NodeChange, Server, ServerChange};
+use cluster::talk::{FromStore, News, Seen, Up};
 use jzon::JsonValue;
 use pegboard::board::{Board, Input, Output, Terms};
 use pegboard::calls::Request;
-use rack::state::{Command, Node, NodeChange, Server, ServerChange};
-use rack::talk::{FromStore, News, Seen, Up};
 use std::net::Ipv4Addr;
 
 const ME: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 4);
--- a/crates/planchest/src/chest.rs
+++ b/crates/planchest/src/chest.rs
@@ -1,10 +1,10 @@
 //! The store as a state machine: the agreement, the state that its log makes, and those who follow it. No I/O, no clock.
 
+use cluster::copy::Copy;
+use cluster::state::{Command, Done, State};
+use cluster::talk::{FRESH_US, FromStore, StorePeer, ToStore, Unsure};
+use cluster::{Micros, Rev};
 use consensus::{Disk, Message, NotLeader, Payload, Ratchet, Role, Saved, Timing, Write};
-use rack::copy::Copy;
-use rack::state::{Command, Done, State};
-use rack::talk::{FRESH_US, FromStore, StorePeer, ToStore, Unsure};
-use rack::{Micros, Rev};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
--- a/crates/planchest/src/main.rs
+++ b/crates/planchest/src/main.rs
@@ -1,11 +1,11 @@
 //! The shell of the store of configuration: links, disk and time around `planchest::chest`.
 
+use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
 use consensus::disk::Store;
 use consensus::{Saved, Write};
 use jig::settings::Settings;
 use miette::{Result, miette};
 use planchest::chest::{Chest, Input, Output, Peer, Standing};
-use rack::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
--- a/crates/planchest/src/store.rs
+++ b/crates/planchest/src/store.rs
@@ -1,12 +1,12 @@
 //! Looking after the folder of a store whose program does not run: check, list, back up, put back, and found the core
 //! anew when most of its disks are gone. What is said to the operator is text; nothing here speaks to a network.
 
+use cluster::booking::BookChange;
+use cluster::drill::DrillChange;
+use cluster::rollout::RolloutChange;
+use cluster::state::{Command, NodeChange, ServerChange, State};
 use consensus::disk::{self, DiskError, Look, Store};
 use consensus::{Disk, Entry, Member, Payload, Roster, Saved};
-use rack::booking::BookChange;
-use rack::drill::DrillChange;
-use rack::rollout::RolloutChange;
-use rack::state::{Command, NodeChange, ServerChange, State};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 use std::fs::File;
--- a/crates/planchest/tests/catching_up.rs
+++ b/crates/planchest/tests/catching_up.rs
@@ -1,8 +1,8 @@
 //! A store that comes back: what it may say of itself before it has all, and what of a later program it refuses.
 
+use cluster::state::{Command, State};
 use consensus::{Entry, Message, Payload, Roster, Saved};
 use planchest::chest::{Chest, Input, Output, Peer};
-use rack::state::{Command, State};
 use std::net::Ipv4Addr;
 
 const LEADER: Ipv4Addr = ip(1);
@@ -185,7 +185,7 @@
     store.append(0, 1, vec![Payload::Nothing]);
     for n in 1..120 {
         // Refused by every copy alike, as it builds on no version; the log holds it all the same.
-        let change = rack::state::Change { base: 9, patch: false, body: vec![b' '; 60_000] };
+        let change = cluster::state::Change { base: 9, patch: false, body: vec![b' '; 60_000] };
         let data = postcard::to_stdvec(&Command::Configure(change)).expect("plain data");
         store.append(n, n, vec![Payload::Data(data)]);
     }
--- a/crates/planchest/tests/chest.rs
+++ b/crates/planchest/tests/chest.rs
@@ -1,10 +1,10 @@
 //! Stores on machines of the test's own: it carries their messages, keeps their disks and tells them the time.
 
+use cluster::copy::Copy;
+use cluster::state::{Change, Command, Done, State};
+use cluster::talk::{FRESH_US, FromStore, ToStore, Unsure};
 use consensus::Saved;
 use planchest::chest::{Chest, Input, Output, Peer};
-use rack::copy::Copy;
-use rack::state::{Change, Command, Done, State};
-use rack::talk::{FRESH_US, FromStore, ToStore, Unsure};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
--- a/crates/planchest/tests/forms.rs
+++ b/crates/planchest/tests/forms.rs
@@ -5,13 +5,13 @@
 //! After a change of form, the file of the old one stays, and `cargo test -p curlewfront-planchest --test forms --
 //! --ignored` with `FORMS=NAME` writes one more.
 
+use cluster::booking::{BookChange, Booking, Unused};
+use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange, State};
+use cluster::talk::StorePeer;
 use consensus::disk::{Store, sealed, unsealed};
 use consensus::{Entry, Hard, Member, Message, Payload, Roster, Saved, Snapshot, decode, encode};
 use planchest::chest::Chest;
 use planchest::store;
-use rack::booking::{BookChange, Booking, Unused};
-use rack::state::{Change, Command, Node, NodeChange, Server, ServerChange, State};
-use rack::talk::StorePeer;
 use redb::{Database, ReadableTable, TableDefinition};
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/planchest/tests/store.rs
+++ b/crates/planchest/tests/store.rs
@@ -1,11 +1,11 @@
 //! The store's folder in an operator's hands: checked, listed, backed up, put back, founded anew.
 
+use cluster::state::{Command, State};
+use cluster::talk::ToStore;
 use consensus::disk::{self, Store};
 use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
 use planchest::chest::{Chest, Input, Output};
 use planchest::store;
-use rack::state::{Command, State};
-use rack::talk::ToStore;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -173,7 +173,7 @@
                         inputs.push_back(Input::Written(write.number));
                     }
                     Output::Peer(to, peer) => self.on_the_way.push_back((who, to, peer)),
-                    Output::Local(_, rack::talk::FromStore::Proposed { result: Ok(_), .. }) => {
+                    Output::Local(_, cluster::talk::FromStore::Proposed { result: Ok(_), .. }) => {
                         self.acked += 1
                     }
                     Output::Local(..) => {}
--- a/crates/proxy/src/book.rs
+++ b/crates/proxy/src/book.rs
@@ -4,12 +4,12 @@
 
 use crate::cramp::Times;
 use crate::rollout::{Exposure, Placed, Side};
+use cluster::Rev;
+use cluster::rollout::{Role, Rollout, Stage};
+use cluster::state::{Node, Server, State};
+use cluster::talk::tenant_key;
 use curlewfront::{Class, Effect, Entry, Micros, Plan, Settings, State as Standing};
 use jig::config::{Config, Service};
-use rack::Rev;
-use rack::rollout::{Role, Rollout, Stage};
-use rack::state::{Node, Server, State};
-use rack::talk::tenant_key;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/proxy/src/cramp.rs
+++ b/crates/proxy/src/cramp.rs
@@ -6,10 +6,10 @@
 //! to no more than one division, which every copy has checked, whoever is cut off. See docs/system/bookings.md.
 
 use crate::book::Book;
+use cluster::Micros;
+use cluster::booking::{Booked, Booking, Phase, Unused, key};
+use cluster::state::State;
 use curlewfront::Hold;
-use rack::Micros;
-use rack::booking::{Booked, Booking, Phase, Unused, key};
-use rack::state::State;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -2,10 +2,10 @@
 //! when, and what is told of it. It acts around the decisions on requests and is told to none of them; see
 //! docs/system/drills.md.
 
+use cluster::drill::{Drill, Drills as Agreed, Rows, Said};
+use cluster::talk::Lease;
+use cluster::{Micros, Rev};
 use jig::drill::{Fault, key_name};
-use rack::drill::{Drill, Drills as Agreed, Rows, Said};
-use rack::talk::Lease;
-use rack::{Micros, Rev};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -3,12 +3,12 @@
 
 use crate::relay::Relay;
 use crate::tree::{self, DEEPEST};
-use rack::copy::Copy;
-use rack::drill::Rows;
-use rack::rollout::Tally;
-use rack::state::Node;
-use rack::talk::{Age, Down, Head, Lease, News, Reading, Seen, Standing, Up, Usage, Use};
-use rack::{Micros, Rev};
+use cluster::copy::Copy;
+use cluster::drill::Rows;
+use cluster::rollout::Tally;
+use cluster::state::Node;
+use cluster::talk::{Age, Down, Head, Lease, News, Reading, Seen, Standing, Up, Usage, Use};
+use cluster::{Micros, Rev};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,6 +1,9 @@
 //! The shell of the proxy: listeners, connections to servers and the link to the news, around `proxy::front` and
 //! `proxy::feed`.
 
+use cluster::Micros;
+use cluster::state::Node;
+use cluster::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use miette::{Result, miette};
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
@@ -9,9 +12,6 @@
 use proxy::rollout::Exposure;
 use proxy::servers::{self, Note};
 use proxy::watch::Watch;
-use rack::Micros;
-use rack::state::Node;
-use rack::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use runtime::datagram::{self, Datagrams};
 use runtime::link::{self, Event, Line, SILENCE};
 use runtime::turn::{Inbox, Machine};
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,11 +1,11 @@
 //! What a proxy does for those that follow it: passes news and readings on at once, says how it stands
 //! itself, and gathers their reports for its own.
 
-use rack::copy::Copy;
-use rack::follow::Followers;
-use rack::state::Node;
-use rack::talk::{Down, Seen, Usage};
-use rack::{Micros, Rev};
+use cluster::copy::Copy;
+use cluster::follow::Followers;
+use cluster::state::Node;
+use cluster::talk::{Down, Seen, Usage};
+use cluster::{Micros, Rev};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -4,8 +4,8 @@
 //! While a version is on trial, each proxy sends it no more than a fixed share of the requests that it sends to the service
 //! itself. So the share holds over all proxies together, whatever any of them knows of the others.
 
-use rack::rollout::{Answers, Rollouts as Agreed, RouteTally, Stage, Tally, tally_interval};
-use rack::{Micros, Rev};
+use cluster::rollout::{Answers, Rollouts as Agreed, RouteTally, Stage, Tally, tally_interval};
+use cluster::{Micros, Rev};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -12,8 +12,8 @@
 //! was read.
 
 use crate::book::Even;
-use rack::Micros;
-use rack::talk::{Reading, Use};
+use cluster::Micros;
+use cluster::talk::{Reading, Use};
 
 /// A reading holds for so many times the time between two reports, counted from when it was made.
 const HOLD: Micros = 3;
--- a/crates/proxy/src/tree.rs
+++ b/crates/proxy/src/tree.rs
@@ -1,7 +1,7 @@
 //! Who stands where among the proxies of a region: the order that rendezvous hashing gives them, and the tree
 //! in it.
 
-use rack::state::Node;
+use cluster::state::Node;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -1,10 +1,10 @@
 //! This proxy among those that watch each other: it tells its watchers that it is there, and notices when one
 //! that it watches no longer does. By datagrams, of which some are lost.
 
-use rack::Micros;
-use rack::state::Node;
-use rack::talk::Here;
-use rack::watch::watchers;
+use cluster::Micros;
+use cluster::state::Node;
+use cluster::talk::Here;
+use cluster::watch::watchers;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -6,11 +6,11 @@
 #[path = "../../tongs/tests/common/tape.rs"]
 mod tape;
 
+use cluster::Micros;
 use common::*;
 use httparse::Header;
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
 use proxy::servers::{Note, Said, Servers};
-use rack::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
--- a/crates/proxy/tests/book.rs
+++ b/crates/proxy/tests/book.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
+use cluster::state::Command;
 use common::*;
 use curlewfront::{Entry, State};
 use proxy::book::Book;
-use rack::state::Command;
 
 const SIX: [(u8, &str); 6] =
     [(1, "north-a"), (2, "north-a"), (3, "north-b"), (4, "north-b"), (5, "south-a"), (6, "south-a")];
 
 /// The lists that all proxies make, each entry with the name of its server and its proxy's zone.
-fn lists(now: u64, copy: &rack::copy::Copy) -> Vec<(String, String, Entry)> {
+fn lists(now: u64, copy: &cluster::copy::Copy) -> Vec<(String, String, Entry)> {
     let all = copy.state.nodes.values().flat_map(|n| {
         let mut book = Book::new(place(n.ip.octets()[3], &n.zone));
         book.learn(copy.state.config.as_ref().expect("a configuration"), copy.state.nodes.len());
@@ -22,7 +22,7 @@
     all.collect()
 }
 
-fn parts(copy: &rack::copy::Copy, id: &str) -> Vec<(String, f64)> {
+fn parts(copy: &cluster::copy::Copy, id: &str) -> Vec<(String, f64)> {
     let mut of: Vec<(String, f64)> =
         lists(SECOND, copy).into_iter().filter(|l| l.0 == id).map(|(_, zone, e)| (zone, e.part)).collect();
     of.dedup();
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! Agreed states, made by commands, and a proxy that hears of them.
 #![allow(dead_code)] // each test file uses a part of it
 
+use cluster::copy::Copy;
+use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
+use cluster::talk::News;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
-use rack::copy::Copy;
-use rack::state::{Change, Command, Node, NodeChange, Server, ServerChange};
-use rack::talk::News;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use tongs::limits::Held;
@@ -73,7 +73,7 @@
     let mut copy = Copy::default();
     for command in commands {
         let rev = copy.rev() + 1;
-        assert_eq!(copy.apply(now, rev, Some(command)), rack::state::Done::Taken);
+        assert_eq!(copy.apply(now, rev, Some(command)), cluster::state::Done::Taken);
     }
     copy
 }
--- a/crates/proxy/tests/cramp.rs
+++ b/crates/proxy/tests/cramp.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
+use cluster::booking::{BookChange, Booking, Phase, Unused};
+use cluster::copy::Copy;
+use cluster::state::Command;
+use cluster::talk::News;
 use common::*;
 use proxy::cramp::{Cramp, Times};
 use proxy::front::{Front, Input};
-use rack::booking::{BookChange, Booking, Phase, Unused};
-use rack::copy::Copy;
-use rack::state::Command;
-use rack::talk::News;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -250,7 +250,7 @@
 #[test]
 fn use_is_reported_under_the_bookings_own_key_and_not_without_one() {
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
-    let key = rack::booking::key("night");
+    let key = cluster::booking::key("night");
     let reported = |proxy: &mut Proxy| -> BTreeMap<u32, u32> {
         for _ in 0..4 {
             proxy.ask("/get/", Some("k1"));
--- a/crates/proxy/tests/drill.rs
+++ b/crates/proxy/tests/drill.rs
@@ -3,12 +3,12 @@
 
 mod common;
 
+use cluster::drill::{DrillChange, Rows, Said};
+use cluster::state::Command;
+use cluster::talk::Lease;
 use common::*;
 use jig::drill::Drill;
 use proxy::front::{Input, Output, Reached};
-use rack::drill::{DrillChange, Rows, Said};
-use rack::state::Command;
-use rack::talk::Lease;
 
 /// For the tenant of k1, which has no limit.
 fn start(proxy: &mut Proxy, name: &str, fault: &str, rest: &str) -> u64 {
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use cluster::copy::Copy;
+use cluster::talk::{Age, Down, News, Standing, Up};
 use common::{SECOND, ZONES, node};
 use proxy::feed::{Feed, Input, Output};
-use rack::copy::Copy;
-use rack::talk::{Age, Down, News, Standing, Up};
 use std::net::Ipv4Addr;
 
 const BEAT: u64 = SECOND;
--- a/crates/proxy/tests/front.rs
+++ b/crates/proxy/tests/front.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
+use cluster::talk::News;
 use common::*;
 use proxy::front::{Input, Reached};
-use rack::talk::News;
 
 #[test]
 fn an_evacuation_shuts_the_servers_of_its_own_zone_though_names_and_numbers_differ_in_order() {
--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
+use cluster::rollout::{Order, RolloutChange, Stage};
+use cluster::state::{Command, ServerChange};
 use common::*;
 use proxy::front::Reached;
 use proxy::rollout::{Exposure, Rollouts};
-use rack::rollout::{Order, RolloutChange, Stage};
-use rack::state::{Command, ServerChange};
 
 const SHARE: f64 = 0.08;
 
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
+use cluster::copy::Copy;
+use cluster::talk::{Reading, Usage, tenant_key};
 use common::*;
 use pegboard::meter::Meter;
 use proxy::book::{Book, Even};
 use proxy::tenants::{Quota, Tenants};
-use rack::copy::Copy;
-use rack::talk::{Reading, Usage, tenant_key};
 
 const EVERY: u64 = SECOND / 3;
 
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -1,12 +1,12 @@
 //! The tree that proxies form, with the registry's own board at its root, on simulated time.
 
+use cluster::copy::Copy;
+use cluster::state::{Command, Node};
+use cluster::talk::{Down, FromStore, Gossip, Head, News, Standing, ToStore, Up, Use};
+use cluster::{Micros, Rev};
 use pegboard::board::{self, Board, Terms};
 use proxy::feed::{Feed, Input, Output};
 use proxy::tree;
-use rack::copy::Copy;
-use rack::state::{Command, Node};
-use rack::talk::{Down, FromStore, Gossip, Head, News, Standing, ToStore, Up, Use};
-use rack::{Micros, Rev};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -144,7 +144,7 @@
                 board::Output::Peer(to, gossip) => self.post(MS, Event::Peer(to, gossip)),
                 board::Output::Store(ToStore::Propose { ticket, command }) => {
                     let rev = self.commit(command);
-                    let result = Ok((rev, rack::state::Done::Taken));
+                    let result = Ok((rev, cluster::state::Done::Taken));
                     self.board(ip, board::Input::Store(FromStore::Proposed { ticket, result }));
                 }
                 board::Output::Store(ToStore::Stand { asked }) => {
@@ -423,7 +423,7 @@
 impl Follower {
     fn new() -> Follower {
         let mut copy = Copy::default();
-        let ups = (1..=12).map(|n| rack::state::NodeChange::Up(node(n * 2))).collect();
+        let ups = (1..=12).map(|n| cluster::state::NodeChange::Up(node(n * 2))).collect();
         copy.apply(0, 1, Some(Command::Nodes(ups)));
         let order = tree::order(&copy.state.nodes, "north", core(9), &BTreeSet::new());
         let me = copy.state.nodes[&order[3]].clone();
--- a/crates/proxy/tests/watch.rs
+++ b/crates/proxy/tests/watch.rs
@@ -1,11 +1,11 @@
 //! Proxies that watch each other, and the registry that hears of their suspicions.
 
+use cluster::copy::Copy;
+use cluster::state::{Command, Node, NodeChange};
+use cluster::talk::{Here, Seen};
+use cluster::{Micros, watch};
 use pegboard::presence::Presence;
 use proxy::watch::Watch;
-use rack::copy::Copy;
-use rack::state::{Command, Node, NodeChange};
-use rack::talk::{Here, Seen};
-use rack::{Micros, watch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
