--- a/crates/cli/src/registries.rs
+++ b/crates/cli/src/registries.rs
@@ -5,8 +5,8 @@
 use crate::error::CommandError;
 use exchange::Answer;
 use jzon::JsonValue;
+use net::http;
 use std::net::SocketAddr;
-use tongs::http;
 
 /// Answers of a registry that did not carry out the call and lets it be tried elsewhere.
 const NOT_CARRIED_OUT: [u16; 2] = [408, 429];
--- a/crates/cli/src/registries/exchange.rs
+++ b/crates/cli/src/registries/exchange.rs
@@ -1,10 +1,10 @@
 //! One call on one registry: a connection, a request, an answer that is read whole, and redirects.
 
 use super::Call;
+use net::http::{self, Body, Bounds, NO_HEADERS};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tongs::http::{self, Body, Bounds, NO_HEADERS};
 
 /// For one registry, with its redirects.
 const TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/dryfit/src/process.rs
+++ b/crates/dryfit/src/process.rs
@@ -10,6 +10,7 @@
 use cluster::state::{Command, Node, State};
 use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
 use consensus::{Saved, Write};
+use net::limits::Held;
 use pegboard::board::{self, Board, Terms};
 use planchest::chest::{self, Chest, Peer};
 use proxy::book::{Leeway, Place};
@@ -22,7 +23,6 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
-use tongs::limits::Held;
 
 /// As the shells have them.
 const PARTING: Micros = 700 * MS;
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -3,12 +3,12 @@
 use crate::gate::Gate;
 use crate::messages::{Asked, Told};
 use crate::request;
+use net::Micros;
+use net::door::{Answer, Desk, Heard, Patience, Reply};
+use net::http::{self, Bad, Bounds, Framing};
+use net::limits::Held;
+use net::pool::Passage;
 use std::sync::Arc;
-use tongs::Micros;
-use tongs::door::{Answer, Desk, Heard, Patience, Reply};
-use tongs::http::{self, Bad, Bounds, Framing};
-use tongs::limits::Held;
-use tongs::pool::Passage;
 
 /// Of a message, a client's or a server's.
 pub const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 64 * 1024 };
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -8,13 +8,13 @@
 use crate::messages::Told;
 use curlewfront::Micros;
 use curlewfront_config::Members;
+use net::clock::Alarm;
+use net::http::{self, Body};
+use net::ring::{Outgoing, Ring};
+use net::socket::{Watched, connect, events};
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
-use tongs::clock::Alarm;
-use tongs::http::{self, Body};
-use tongs::net::{Watched, connect, events};
-use tongs::ring::{Outgoing, Ring};
 
 /// While nothing changes a line comes every 2 s: so long without one, and the watch is taken for dead. What
 /// discovery has to tell counts as told some seconds later whether it came or not, so the next watch must stand
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -3,14 +3,14 @@
 use crate::messages::Told;
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
+use net::clock::{Alarms, Clock};
+use net::limits::Side;
+use net::mailbox::{Bell, Mailbox};
+use net::room::Room;
 use slog::Logger;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
-use tongs::clock::{Alarms, Clock};
-use tongs::limits::Side;
-use tongs::mailbox::{Bell, Mailbox};
-use tongs::room::Room;
 
 pub struct Gate {
     pub config: Config,
@@ -98,7 +98,7 @@
 #[cfg(test)]
 pub mod tests {
     use super::*;
-    use tongs::clock::Alarm;
+    use net::clock::Alarm;
 
     const CONFIG: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","known":{"version":1,"full":true,
 "servers":[{"id":"s","addr":"127.0.0.1:9","zone":"a","state":"Ready"}]},
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
 //! curlewfront-gateway: one gateway on sockets around the decisions. The peers have a file each: clients,
-//! servers, discovery; the module owns the decisions. The sockets themselves are the work of `tongs`. All of it runs on one thread of coroutines.
+//! servers, discovery; the module owns the decisions. The sockets themselves are the work of `net`. All of it runs on one thread of coroutines.
 
 mod calls;
 mod clients;
@@ -16,13 +16,13 @@
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
 use gate::Gate;
+use net::clock::{Alarm, Alarms, Clock};
+use net::door::Door;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
-use tongs::clock::{Alarm, Alarms, Clock};
-use tongs::door::Door;
 
 fn main() -> ExitCode {
     let config = match Config::load(|name| std::env::var(name).ok()) {
@@ -65,7 +65,7 @@
     log: slog::Logger,
     signals: Signals,
 ) -> Result<(Receiver<()>, Option<Arc<Handle>>), String> {
-    tongs::set_up();
+    net::set_up();
     let cannot = |what: &str, e: std::io::Error| format!("cannot {what}: {e}");
     // Off, it is no thread, socket or file; on, what is wrong with its store is said before anything is served.
     let fleet = config.fleet.as_ref().map(|f| curlewfront_fleet::run::start(f, &config.name, &log));
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -3,11 +3,11 @@
 
 use curlewfront::{Micros, Outcome};
 use curlewfront_config::Members;
+use net::door::{Answer, Reply};
+use net::errors::AttemptError;
+use net::pool::Passage;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use tongs::door::{Answer, Reply};
-use tongs::errors::AttemptError;
-use tongs::pool::Passage;
 
 /// What the module's actor is told.
 pub enum Told {
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -6,17 +6,17 @@
 use crate::servers::{self, Back};
 use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, Return, State};
 use curlewfront_config::Members;
+use net::clock::Alarm;
+use net::door::{Answer, Reply};
+use net::errors::AttemptError;
+use net::limits::Side;
+use net::pool::{Job, Passage, Peer};
+use net::timeouts::Timeouts;
 use std::collections::hash_map::Entry::Occupied;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use tongs::clock::Alarm;
-use tongs::door::{Answer, Reply};
-use tongs::errors::AttemptError;
-use tongs::limits::Side;
-use tongs::pool::{Job, Passage, Peer};
-use tongs::timeouts::Timeouts;
 
 struct Open {
     name: Arc<[u8]>,
@@ -506,8 +506,8 @@
 mod tests {
     use super::*;
     use crate::gate::tests::gate;
+    use net::limits::Held;
     use std::sync::mpsc::{Sender, channel};
-    use tongs::limits::Held;
 
     fn module() -> Module {
         let gate = gate();
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -3,9 +3,9 @@
 use crate::gate::Gate;
 use crate::messages::Asked;
 use curlewfront::{Micros, Plan};
-use tongs::http::{self, Bad};
-use tongs::limits::Held;
-use tongs::pool::Passage;
+use net::http::{self, Bad};
+use net::limits::Held;
+use net::pool::Passage;
 
 /// Reads the headers that a request must carry. `until` is the time allowed, yet to be counted from the
 /// request's last byte.
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -4,12 +4,12 @@
 use crate::gate::Gate;
 use crate::messages::{self, Carried, Told};
 use curlewfront::Outcome;
+use net::Micros;
+use net::door::Answer;
+use net::http;
+use net::pool::{Ended, Heard, Job, Peer, Settings, Wire};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tongs::Micros;
-use tongs::door::Answer;
-use tongs::http;
-use tongs::pool::{Ended, Heard, Job, Peer, Settings, Wire};
 
 pub struct Back(pub Arc<Gate>);
 
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -6,14 +6,14 @@
 use crate::gate::Gate;
 use curlewfront::Micros;
 use curlewfront_config::Config;
+use net::clock::Alarm;
+use net::door::Door;
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Sender;
-use tongs::clock::Alarm;
-use tongs::door::Door;
 
 /// New connections keep coming for a while after the signal.
 const STILL_COMING_US: Micros = 1_000_000;
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -110,7 +110,7 @@
 /// that may have run once is sent again. Answers here bear no names, so those of others are left out.
 #[test]
 fn the_corpus_of_answers_is_served_whole_or_not_at_all() {
-    let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../tongs/tests/corpus/answers");
+    let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../net/tests/corpus/answers");
     let mut tried = 0;
     for file in std::fs::read_dir(dir).expect("a corpus") {
         let path = file.expect("a file").path();
--- a/crates/tongs/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -2,7 +2,7 @@
 //! library's own timers run on a second thread and are not used.
 
 use crate::mailbox::{Bell, Mailbox};
-use crate::net::Watched;
+use crate::socket::Watched;
 use nix::sys::time::TimeSpec;
 use nix::sys::timerfd::{ClockId, Expiration, TimerFd, TimerFlags, TimerSetTimeFlags};
 use std::collections::BTreeMap;
--- a/crates/tongs/src/door/model.rs
+++ b/crates/net/src/door/model.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::clock::{Alarms, Clock};
 use crate::http::NO_HEADERS;
-use crate::net::{Stream, events};
+use crate::socket::{Stream, events};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
--- a/crates/tongs/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -11,10 +11,10 @@
 pub mod http;
 pub mod limits;
 pub mod mailbox;
-pub mod net;
 pub mod pool;
 pub mod ring;
 pub mod room;
+pub mod socket;
 pub mod timeouts;
 
 pub use clock::Micros;
--- a/crates/tongs/src/mailbox.rs
+++ b/crates/net/src/mailbox.rs
@@ -1,6 +1,6 @@
 //! The mailbox of an actor that waits on a descriptor: a queue, and a bell that wakes the actor.
 //!
-//! No message is left lying, as long as the descriptor is watched (`net::Watched`) and the actor looks after each
+//! No message is left lying, as long as the descriptor is watched (`socket::Watched`) and the actor looks after each
 //! wait. A message is in the queue before its bell is rung. The bell sets a flag; the wait takes the flag as it
 //! ends, and the look comes after that: what was posted before the flag was taken is seen by that look, what is
 //! posted later sets it again and ends the next wait. A ring may come late and end a wait for nothing. What can
--- a/crates/tongs/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -13,8 +13,8 @@
 use crate::http::{self, Bounds};
 use crate::limits::{Held, Side};
 use crate::mailbox::Mailbox;
-use crate::net;
 use crate::room::Room;
+use crate::socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -438,7 +438,7 @@
             self.wire.crowded();
             return self.refuse(job, Cause::NoDescriptor);
         };
-        let io = match net::connect(self.addr, self.settings.silence) {
+        let io = match socket::connect(self.addr, self.settings.silence) {
             Ok(io) => io,
             Err(e) => {
                 // Also where the system gives fewer descriptors than the configuration says.
--- a/crates/tongs/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -1,6 +1,15 @@
 //! What reads servers' answers and clients' requests, on a corpus that is split at each byte, cut, doubled, glued
 //! together and spoiled by chance. All of it from seeds and in bounded number.
 
+use net::Micros;
+use net::clock::{Alarms, Clock};
+use net::door::{self, Answer, Desk, Door, Patience, Reply};
+use net::errors::{Cause, Progress};
+use net::http::{self, Bad, Body, Bounds, NO_HEADERS};
+use net::limits::Held;
+use net::pool::exchange::{Exchange, Left, Then};
+use net::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
+use net::room::Room;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,15 +17,6 @@
 use std::sync::mpsc::{Sender, channel};
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
-use tongs::Micros;
-use tongs::clock::{Alarms, Clock};
-use tongs::door::{self, Answer, Desk, Door, Patience, Reply};
-use tongs::errors::{Cause, Progress};
-use tongs::http::{self, Bad, Body, Bounds, NO_HEADERS};
-use tongs::limits::Held;
-use tongs::pool::exchange::{Exchange, Left, Then};
-use tongs::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
-use tongs::room::Room;
 
 const BOUNDS: Bounds = Bounds { head: 4096, body: 4096 };
 
@@ -312,7 +312,7 @@
 fn room() -> Arc<Room> {
     static ROOM: OnceLock<Arc<Room>> = OnceLock::new();
     let start = || {
-        tongs::set_up();
+        net::set_up();
         let clock = Clock::start();
         let alarms = Alarms::start(clock).expect("a timer");
         Arc::new(Room::new(4000, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
--- a/crates/tongs/tests/orders.rs
+++ b/crates/net/tests/orders.rs
@@ -1,5 +1,5 @@
 //! All orders in which two senders, one actor and the event loop can meet at a mailbox, a bell and a wait. The
-//! steps are those of `tongs::mailbox` and of the coroutine library (0.3.51), written down again; every state that
+//! steps are those of `net::mailbox` and of the coroutine library (0.3.51), written down again; every state that
 //! any order of them leads to is visited. An actor that waits for good with something left for it has lost a
 //! wake-up. Each fault that the steps guard against is planted and must be caught.
 //!
--- a/crates/tongs/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -2,6 +2,14 @@
 //! knows answers by their id. All waits are bounded.
 
 use may::io::CoIo;
+use net::Micros;
+use net::clock::{Alarms, Clock};
+use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::errors::Progress;
+use net::http::{self, Bad, Bounds};
+use net::limits::{Fd, Held, Side};
+use net::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
+use net::room::Room;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, RawFd};
@@ -9,14 +17,6 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
-use tongs::Micros;
-use tongs::clock::{Alarms, Clock};
-use tongs::door::{Answer, Desk, Door, Heard, Patience, Reply};
-use tongs::errors::Progress;
-use tongs::http::{self, Bad, Bounds};
-use tongs::limits::{Fd, Held, Side};
-use tongs::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
-use tongs::room::Room;
 
 const WAIT: Duration = Duration::from_secs(10);
 const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 32 * 1024 * 1024 };
@@ -27,7 +27,7 @@
 }
 
 fn room_of(sockets: usize) -> Arc<Room> {
-    tongs::set_up();
+    net::set_up();
     let clock = Clock::start();
     let alarms = Alarms::start(clock).expect("a timer");
     Arc::new(Room::new(sockets, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
--- a/crates/tongs/tests/watching.rs
+++ b/crates/net/tests/watching.rs
@@ -2,6 +2,7 @@
 //! descriptor that, once it is closed, has another opened before anything else is done.
 
 use may::io::CoIo;
+use net::socket::Watched;
 use std::fs;
 use std::io::{Read, Write};
 use std::os::fd::{AsRawFd, RawFd};
@@ -9,7 +10,6 @@
 use std::sync::mpsc::{Sender, channel};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tongs::net::Watched;
 
 const WAIT: Duration = Duration::from_secs(10);
 
@@ -17,7 +17,7 @@
 fn alone() -> MutexGuard<'static, ()> {
     static ONE: Mutex<()> = Mutex::new(());
     let guard = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    tongs::set_up();
+    net::set_up();
     guard
 }
 
--- a/crates/pegboard/src/main.rs
+++ b/crates/pegboard/src/main.rs
@@ -4,6 +4,10 @@
 use cluster::Rev;
 use cluster::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
 use miette::{Result, miette};
+use net::Micros;
+use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::http::{self, Bad, Bounds};
+use net::limits::Held;
 use pegboard::board::{Board, Input, Output, REPEAT_US, Terms};
 use pegboard::calls::{self, Request};
 use runtime::link::{Event, Line, SILENCE, Tie};
@@ -16,10 +20,6 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Sender, channel};
 use std::time::{SystemTime, UNIX_EPOCH};
-use tongs::Micros;
-use tongs::door::{Answer, Desk, Door, Heard, Patience, Reply};
-use tongs::http::{self, Bad, Bounds};
-use tongs::limits::Held;
 
 /// What is left to callers that are being answered when the program is asked to end.
 const PARTING_US: Micros = 700_000;
--- a/crates/planchest/src/main.rs
+++ b/crates/planchest/src/main.rs
@@ -5,6 +5,7 @@
 use consensus::{Saved, Write};
 use jig::settings::Settings;
 use miette::{Result, miette};
+use net::Micros;
 use planchest::chest::{Chest, Input, Output, Peer, Standing};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
@@ -15,7 +16,6 @@
 use std::process::ExitCode;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
-use tongs::Micros;
 
 /// Between tries of a write that the disk refused.
 const REFUSED: Duration = Duration::from_millis(250);
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -17,12 +17,12 @@
 use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome, Return};
 use jig::config::{Config, Index, Kind, Route, Tenant};
 use jig::drill::{Fault, Ran};
+use net::limits::Held;
+use net::pool::Passage;
+use net::timeouts::Timeouts;
 use std::collections::hash_map::Entry::Occupied;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
-use tongs::limits::Held;
-use tongs::pool::Passage;
-use tongs::timeouts::Timeouts;
 
 /// A client's request, whole.
 pub struct Ask {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -5,6 +5,11 @@
 use cluster::state::Node;
 use cluster::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use miette::{Result, miette};
+use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::http::{self, Bad, Bounds};
+use net::limits::Held;
+use net::pool::{self, Job, Peer};
+use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::feed::{self, Feed};
@@ -22,11 +27,6 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Sender, channel};
-use tongs::door::{Answer, Desk, Door, Heard, Patience, Reply};
-use tongs::http::{self, Bad, Bounds};
-use tongs::limits::Held;
-use tongs::pool::{self, Job, Peer};
-use tongs::room::Room;
 
 /// For a server to take a connection.
 const DIAL_US: Micros = 600_000;
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -2,11 +2,11 @@
 //! an attempt that has ended.
 
 use crate::front::{End, Reached, Served};
+use net::Micros;
+use net::errors::AttemptError;
+use net::http;
+use net::pool::{self, Ended, Heard, Job, Wire};
 use std::sync::Arc;
-use tongs::Micros;
-use tongs::errors::AttemptError;
-use tongs::http;
-use tongs::pool::{self, Ended, Heard, Job, Wire};
 
 pub struct Servers<T> {
     tell: T,
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -3,23 +3,23 @@
 //! The code is that of the proxy; of its shell, the loop that lends a socket is here made anew (`turn`, `send`).
 
 mod common;
-#[path = "../../tongs/tests/common/tape.rs"]
+#[path = "../../net/tests/common/tape.rs"]
 mod tape;
 
 use cluster::Micros;
 use common::*;
 use httparse::Header;
+use net::errors::Cause;
+use net::http::{Bounds, Response};
+use net::limits::Held;
+use net::pool::exchange::{Exchange, Left, Then};
+use net::pool::{self, Heard, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
 use proxy::servers::{Note, Said, Servers};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
 use tape::Tape;
-use tongs::errors::Cause;
-use tongs::http::{Bounds, Response};
-use tongs::limits::Held;
-use tongs::pool::exchange::{Exchange, Left, Then};
-use tongs::pool::{self, Heard, Wire};
 
 type Tell = Box<dyn Fn(u64, u32, End) + Send + Sync>;
 type Carried = pool::Job<Note>;
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -4,12 +4,12 @@
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::News;
+use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
-use tongs::limits::Held;
 
 pub const SECOND: u64 = 1_000_000;
 pub const ZONES: [(&str, &str); 4] =
--- a/crates/runtime/src/datagram.rs
+++ b/crates/runtime/src/datagram.rs
@@ -1,10 +1,10 @@
 //! Datagrams between curlewfront's processes, one message of postcard each. Any may be lost.
 
+use net::socket::Watched;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io::{self, ErrorKind};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
-use tongs::net::Watched;
 
 const MOST: usize = 512;
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -10,6 +10,9 @@
 use crate::turn::{Inbox, Machine};
 use jig::Settings;
 use miette::{Report, Result, miette};
+use net::clock::{Alarm, Alarms, Clock};
+use net::mailbox::Mailbox;
+use net::room::Room;
 use serde::de::DeserializeOwned;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -18,9 +21,6 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
-use tongs::clock::{Alarm, Alarms, Clock};
-use tongs::mailbox::Mailbox;
-use tongs::room::Room;
 
 /// What a program is started with.
 pub struct Start {
@@ -163,7 +163,7 @@
 
     /// Sets up the coroutines, the clock, and where a machine's messages go. Once in a program.
     pub fn stage<T>(&self) -> Result<Stage<T>> {
-        tongs::set_up();
+        net::set_up();
         let clock = Clock::start();
         let alarm = Alarm::new(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
         let inbox = Arc::new(Mailbox::new(alarm.bell()));
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -3,6 +3,10 @@
 //! A link is an actor with one coroutine. Nothing is sent again from here: a link that breaks loses what was on its
 //! way, and who uses it begins anew.
 
+use net::Micros;
+use net::mailbox::Mailbox;
+use net::ring::{Outgoing, Ring};
+use net::socket::{self, Watched, events};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use socket2::{Domain, Socket, Type};
@@ -11,10 +15,6 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
-use tongs::Micros;
-use tongs::mailbox::Mailbox;
-use tongs::net::{self, Watched, events};
-use tongs::ring::{Outgoing, Ring};
 
 /// What each side says first: who it is, and the form of all messages behind it. It is counted up with each change of a
 /// message that an older program would misread.
@@ -72,7 +72,7 @@
     silence: Duration,
     told: impl Fn(u64, Event<I>) + Send + 'static,
 ) -> io::Result<Line> {
-    let io = net::connect(addr, Some(silence))?;
+    let io = socket::connect(addr, Some(silence))?;
     Ok(start(io, true, told))
 }
 
--- a/crates/runtime/src/turn.rs
+++ b/crates/runtime/src/turn.rs
@@ -2,10 +2,10 @@
 //! again when it wants to be.
 
 use may::coroutine::JoinHandle;
+use net::Micros;
+use net::clock::{Alarm, Clock};
+use net::mailbox::Mailbox;
 use std::sync::Arc;
-use tongs::Micros;
-use tongs::clock::{Alarm, Clock};
-use tongs::mailbox::Mailbox;
 
 /// A loop that comes so much later than it wanted to says so: whatever it is late with may have that as its cause.
 const LATE_US: Micros = 300_000;
