--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -8,9 +8,9 @@
 use crate::registries::{Call, Registries, text};
 use crate::table::cell;
 use clap::{Arg, ArgAction, ArgMatches, Command};
-use jig::Config;
-use jig::config::{if_match, show_version};
 use jzon::JsonValue;
+use settings::Config;
+use settings::config::{if_match, show_version};
 
 const TARGET: &str = "/api/configuration";
 
--- a/crates/cli/src/config/show.rs
+++ b/crates/cli/src/config/show.rs
@@ -1,8 +1,8 @@
 //! A configuration as tables: routes, services, tenants, limits.
 
 use crate::table::Table;
-use jig::Config;
-use jig::config::{Route, show_version};
+use settings::Config;
+use settings::config::{Route, show_version};
 
 const ROUTE_COLUMNS: [&str; 11] = [
     "ROUTE",
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -47,7 +47,7 @@
         let mut key = String::new();
         let read = std::io::stdin().read_line(&mut key);
         read.map_err(|e| CommandError::Usage(format!("standard input: {e}")))?;
-        return Ok(jig::drill::key_name(key.trim()) + "\n");
+        return Ok(settings::drill::key_name(key.trim()) + "\n");
     }
     let json = given.get_flag("json");
     if call == "list" {
@@ -78,7 +78,8 @@
 ) -> Result<String, CommandError> {
     let path = text_of(given, "FILE");
     let body = std::fs::read(path).map_err(|e| CommandError::Usage(format!("{path}: {e}")))?;
-    let drill = jig::drill::Drill::read(name, &body).map_err(|e| CommandError::Refused(e.to_string()))?;
+    let drill =
+        settings::drill::Drill::read(name, &body).map_err(|e| CommandError::Refused(e.to_string()))?;
     let dry_run = given.get_flag("dry-run");
     let target = if dry_run { format!("{target}?dry_run=true") } else { target.to_string() };
     let answer = text(registries.send(&Call { method: "PUT", target, if_match: None, body: &body })?);
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -8,8 +8,8 @@
 use crate::registries::{Call, Registries, escape, text};
 use crate::table::{cell, list};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use jig::rollout::MAX_TERM_S;
 use jzon::JsonValue;
+use settings::rollout::MAX_TERM_S;
 use std::time::Duration;
 
 const TARGET: &str = "/api/rollouts";
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -2,8 +2,8 @@
 
 use crate::error::CommandError;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use jig::Scheme;
-use jig::scheme::{Part, Program};
+use settings::Scheme;
+use settings::scheme::{Part, Program};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
--- a/crates/cli/tests/system.rs
+++ b/crates/cli/tests/system.rs
@@ -1,6 +1,6 @@
 //! `curlewfront system init`, and whether the programs take what it writes.
 
-use jig::Settings;
+use settings::Settings;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
--- a/crates/cluster/src/drill.rs
+++ b/crates/cluster/src/drill.rs
@@ -2,9 +2,9 @@
 //! so: docs/system/drills.md.
 
 use crate::Rev;
-use jig::config::Config;
-pub use jig::drill::{Caller, Drill, Fault, Guard, Ran};
 use serde::{Deserialize, Serialize};
+use settings::config::Config;
+pub use settings::drill::{Caller, Drill, Fault, Guard, Ran};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/cluster/src/rollout.rs
+++ b/crates/cluster/src/rollout.rs
@@ -2,8 +2,8 @@
 //! serve meanwhile. Why it is done so: docs/system/rollouts.md.
 
 use crate::{Micros, Rev};
-pub use jig::rollout::{Order, Progress};
 use serde::{Deserialize, Serialize};
+pub use settings::rollout::{Order, Progress};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Services whose last rollout is remembered.
--- a/crates/dryfit/src/judge.rs
+++ b/crates/dryfit/src/judge.rs
@@ -7,8 +7,8 @@
 
 use crate::record::{Answer, Arrival, Change, Fate, Kind, Record, Trouble, Try};
 use crate::{Micros, SECOND};
-use jig::Config;
-use jig::drill::Fault;
+use settings::Config;
+use settings::drill::Fault;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
 /// A record with what is looked up in it again and again.
 struct Judge<'r> {
     r: &'r Record,
-    indexes: Vec<jig::Index>,
+    indexes: Vec<settings::Index>,
     out: Vec<Breach>,
 }
 
--- a/crates/dryfit/src/judge/history.rs
+++ b/crates/dryfit/src/judge/history.rs
@@ -9,7 +9,7 @@
 use super::Judge;
 use crate::Micros;
 use crate::record::{Fate, Look, Record};
-use jig::Config;
+use settings::Config;
 use std::collections::BTreeMap;
 
 /// Steps of the search for a chain, on a day.
--- a/crates/dryfit/src/judge/rollouts.rs
+++ b/crates/dryfit/src/judge/rollouts.rs
@@ -3,7 +3,7 @@
 use super::{Judge, arrivals};
 use crate::Micros;
 use crate::record::{Arrival, Fate, Host, Rollout, Seen, Try};
-use jig::rollout::Progress;
+use settings::rollout::Progress;
 use std::collections::BTreeMap;
 
 /// Bad answers of a version after which it is to get no more.
--- a/crates/dryfit/src/operators.rs
+++ b/crates/dryfit/src/operators.rs
@@ -7,9 +7,9 @@
 use crate::record::{self, Fate, Kind, Look, Repeat};
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
-use jig::Config;
-use jig::config::show_version;
 use pegboard::calls;
+use settings::Config;
+use settings::config::show_version;
 use std::rc::Rc;
 
 /// One of those who change the configuration in a storm.
--- a/crates/dryfit/src/plan.rs
+++ b/crates/dryfit/src/plan.rs
@@ -3,9 +3,9 @@
 use crate::record::Booking;
 use crate::scenario::{Scenario, route_of};
 use crate::{MS, Micros, SECOND};
-use jig::Config;
-use jig::config::show_version;
-use jig::drill::Drill;
+use settings::Config;
+use settings::config::show_version;
+use settings::drill::Drill;
 
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
--- a/crates/dryfit/src/record.rs
+++ b/crates/dryfit/src/record.rs
@@ -1,9 +1,9 @@
 //! What clients, servers and operators saw in a day, and what was done to the machines: all that is judged.
 
 use crate::{MS, Micros, SECOND};
-use jig::Config;
-use jig::drill::Drill;
-use jig::rollout::Progress;
+use settings::Config;
+use settings::drill::Drill;
+use settings::rollout::Progress;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/dryfit/src/rollout.rs
+++ b/crates/dryfit/src/rollout.rs
@@ -8,9 +8,9 @@
 use crate::scenario::{Scenario, What, Words};
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
-use jig::rollout::Progress;
 use miette::{Result, miette};
 use pegboard::calls;
+use settings::rollout::Progress;
 use std::rc::Rc;
 
 /// The version of the servers that run when a day begins.
--- a/crates/dryfit/src/scenario.rs
+++ b/crates/dryfit/src/scenario.rs
@@ -512,7 +512,7 @@
         body["count"] = w.number("how many")?.into();
     }
     body["duration_ms"] = ((w.last()? / MS) as f64).into();
-    let drill = jig::drill::Drill::read(&name, body.dump().as_bytes()).map_err(|e| miette!("{e}"))?;
+    let drill = settings::drill::Drill::read(&name, body.dump().as_bytes()).map_err(|e| miette!("{e}"))?;
     Ok(Wish::Drill(Box::new(drill)))
 }
 
--- a/crates/dryfit/src/weigh.rs
+++ b/crates/dryfit/src/weigh.rs
@@ -162,7 +162,7 @@
     };
     let whole = plan.whole();
     let before = heap.current_usage();
-    let (config, us) = timed(|| jig::Config::read(whole.as_bytes()));
+    let (config, us) = timed(|| settings::Config::read(whole.as_bytes()));
     let config = config.map_err(|e| miette!("{e}"))?;
     w.config = (whole.len(), us, heap.current_usage() - before);
     drop(config);
--- a/crates/dryfit/tests/planted.rs
+++ b/crates/dryfit/tests/planted.rs
@@ -7,7 +7,7 @@
 };
 use dryfit::scenario::Scenario;
 use dryfit::{MS, SECOND};
-use jig::rollout::Progress;
+use settings::rollout::Progress;
 use std::rc::Rc;
 
 /// A day with one of everything.
--- a/crates/dryfit/tests/rollouts.rs
+++ b/crates/dryfit/tests/rollouts.rs
@@ -5,7 +5,7 @@
 use dryfit::record::{Arrival, Record, Try};
 use dryfit::scenario::Scenario;
 use dryfit::{MS, Micros, SECOND};
-use jig::rollout::Progress;
+use settings::rollout::Progress;
 
 /// A day with a rollout at 10 s, and more.
 fn day(order: &str, more: &str) -> Record {
--- a/crates/dryfit/tests/weigh.rs
+++ b/crates/dryfit/tests/weigh.rs
@@ -35,7 +35,7 @@
     assert!(plan.routes.iter().all(|r| (r.kind == "unsafe") == (r.to[0].0 == "utu")), "kinds go by service");
     let names: BTreeSet<&String> = plan.routes.iter().map(|r| &r.name).collect();
     assert_eq!(names.len(), 8);
-    jig::Config::read(plan.whole().as_bytes()).expect("a proper configuration");
+    settings::Config::read(plan.whole().as_bytes()).expect("a proper configuration");
 }
 
 #[test]
@@ -91,5 +91,5 @@
     assert!(asked.len() > LOT.active, "each has some of its own");
     assert_eq!(weighed(LOT).readings.0, asked.len());
     let text = plan(&LOT).whole();
-    assert_eq!(jig::Config::read(text.as_bytes()).expect("proper").tenants.map(|t| t.len()), Some(60));
+    assert_eq!(settings::Config::read(text.as_bytes()).expect("proper").tenants.map(|t| t.len()), Some(60));
 }
--- a/crates/lab/src/system/log.rs
+++ b/crates/lab/src/system/log.rs
@@ -8,7 +8,7 @@
     Arrival, Bounds, Change, Closing, Cold, Evacuation, Fate, Host, Leave, Look, ReadBack, Record, Repeat,
     Request, Trouble, Try,
 };
-use jig::Config;
+use settings::Config;
 use std::rc::Rc;
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/lab/src/system/mod.rs
+++ b/crates/lab/src/system/mod.rs
@@ -26,7 +26,6 @@
 use dryfit::record::{Bounds, Record};
 use dryfit::scenario::Scenario;
 use dryfit::{MS, Micros, SECOND};
-use jig::Scheme;
 use jzon::JsonValue;
 use log::Log;
 use machines::{Block, Machines};
@@ -36,6 +35,7 @@
 use rollout_play::RolloutPlayer;
 use rollouts::{PlannedRollout, Script};
 use servers::Servers;
+use settings::Scheme;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
 
 /// The bounds of the rules as a settings file has them: what is judged is what the programs were told.
 fn told(b: &Bounds) -> JsonValue {
-    let mut out = jig::scheme::usual_bounds();
+    let mut out = settings::scheme::usual_bounds();
     let ms = |t: Micros| JsonValue::from(t / MS);
     let s = |t: Micros| JsonValue::from(t as f64 / 1e6);
     out["contact_ms"] = ms(b.contact);
--- a/crates/lab/src/system/play.rs
+++ b/crates/lab/src/system/play.rs
@@ -12,7 +12,7 @@
 use dryfit::plan::Wish;
 use dryfit::record::Closing;
 use dryfit::scenario::{Scenario, What};
-use jig::scheme::Program;
+use settings::scheme::Program;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/lab/src/system/servers.rs
+++ b/crates/lab/src/system/servers.rs
@@ -112,7 +112,7 @@
         let mut places: Vec<Place> = Vec::new();
         let mut add = |service: &str, prefix: String, n: usize, rollout: Option<&PlannedRollout>| {
             for i in 0..n {
-                let ip = jig::scheme::FIRST_SERVER + (places.len() % ADDRESSES) as u8;
+                let ip = settings::scheme::FIRST_SERVER + (places.len() % ADDRESSES) as u8;
                 let port = FIRST_PORT + (places.len() / ADDRESSES) as u16;
                 let (zone, region) = s.zones[i % s.zones.len()].clone();
                 places.push(Place {
--- a/crates/pegboard/src/board.rs
+++ b/crates/pegboard/src/board.rs
@@ -20,9 +20,9 @@
     Age, Down, FRESH_US, FromStore, Gossip, Head, News, Reading, Seen, Standing, ToStore, Unsure, Up, Usage,
 };
 use cluster::{Micros, Rev};
-use jig::api::{self, Beat, Call};
-use jig::config::if_match;
-use jig::drill::{Drill, Fault};
+use settings::api::{self, Beat, Call};
+use settings::config::if_match;
+use settings::drill::{Drill, Fault};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/board/booking.rs
+++ b/crates/pegboard/src/board/booking.rs
@@ -5,11 +5,11 @@
 use crate::calls::{Answer, Request};
 use cluster::booking::{BookChange, Booking, DayMs, Phase, Unbooked, Unused};
 use cluster::state::Command;
-use jig::api::dry_run;
-use jig::booking::{Asked, Meant};
-use jig::config::if_match;
-use jig::facts::Trouble;
 use jzon::JsonValue;
+use settings::api::dry_run;
+use settings::booking::{Asked, Meant};
+use settings::config::if_match;
+use settings::facts::Trouble;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/board/rollout.rs
+++ b/crates/pegboard/src/board/rollout.rs
@@ -7,8 +7,8 @@
 use cluster::rollout::{Rollout, RolloutChange, Stage, Tally, tally_interval};
 use cluster::state::{Command, Server};
 use cluster::talk::ToStore;
-use jig::rollout::Order;
 use jzon::JsonValue;
+use settings::rollout::Order;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/bookings.rs
+++ b/crates/pegboard/src/bookings.rs
@@ -7,8 +7,8 @@
 use cluster::Micros;
 use cluster::booking::{BookChange, Booked, Booking, Bookings, DayMs, Phase, Unbooked, Unused, divide};
 use cluster::state::State;
-use jig::config::show_version;
 use jzon::JsonValue;
+use settings::config::show_version;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/calls.rs
+++ b/crates/pegboard/src/calls.rs
@@ -3,7 +3,7 @@
 use cluster::Micros;
 use cluster::rollout::Declined;
 use cluster::state::{Done, Node, Server};
-use jig::config::show_version;
+use settings::config::show_version;
 
 /// A call as it came.
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
 
     pub fn resolution(nodes: &[&Node], validity_s: f64) -> Answer {
         let list: Vec<_> = nodes.iter().map(|n| n.front).collect();
-        Answer::json(200, jig::api::resolution_answer(&list, validity_s))
+        Answer::json(200, settings::api::resolution_answer(&list, validity_s))
     }
 }
 
--- a/crates/pegboard/src/show.rs
+++ b/crates/pegboard/src/show.rs
@@ -6,9 +6,9 @@
 use cluster::drill::Held;
 use cluster::state::{Node, State};
 use cluster::{Micros, Rev};
-use jig::config::show_version;
-use jig::drill::{Drill, Ran};
 use jzon::JsonValue;
+use settings::config::show_version;
+use settings::drill::{Drill, Ran};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/tests/drills.rs
+++ b/crates/pegboard/tests/drills.rs
@@ -100,7 +100,7 @@
     let mut r = registry();
     r.tell(Input::Proxy(5, Up::Hello { node: node(1, "north-a"), rev: 0 }));
     let start = |name| {
-        let drill = jig::drill::Drill::read(name, body(REED, LOST).as_bytes()).expect("a drill");
+        let drill = settings::drill::Drill::read(name, body(REED, LOST).as_bytes()).expect("a drill");
         Command::Drill(DrillChange::Start(Box::new(drill)))
     };
     let (epoch, _) = r.lands(start("x"));
--- a/crates/planchest/src/main.rs
+++ b/crates/planchest/src/main.rs
@@ -3,13 +3,13 @@
 use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
 use consensus::disk::Store;
 use consensus::{Saved, Write};
-use jig::settings::Settings;
 use miette::{Result, miette};
 use net::Micros;
 use planchest::chest::{Chest, Input, Output, Peer, Standing};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
+use settings::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
--- a/crates/proxy/src/book.rs
+++ b/crates/proxy/src/book.rs
@@ -9,7 +9,7 @@
 use cluster::state::{Node, Server, State};
 use cluster::talk::tenant_key;
 use curlewfront::{Class, Effect, Entry, Micros, Plan, Settings, State as Standing};
-use jig::config::{Config, Service};
+use settings::config::{Config, Service};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -5,7 +5,7 @@
 use cluster::drill::{Drill, Drills as Agreed, Rows, Said};
 use cluster::talk::Lease;
 use cluster::{Micros, Rev};
-use jig::drill::{Fault, key_name};
+use settings::drill::{Fault, key_name};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -15,11 +15,11 @@
 use cluster::state::{Command, ServerChange, State};
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
 use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome, Return};
-use jig::config::{Config, Index, Kind, Route, Tenant};
-use jig::drill::{Fault, Ran};
 use net::limits::Held;
 use net::pool::Passage;
 use net::timeouts::Timeouts;
+use settings::config::{Config, Index, Kind, Route, Tenant};
+use settings::drill::{Fault, Ran};
 use std::collections::hash_map::Entry::Occupied;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -271,7 +271,7 @@
         self.open.len()
     }
 
-    pub fn limits(&self) -> Option<&jig::config::Limits> {
+    pub fn limits(&self) -> Option<&settings::config::Limits> {
         self.config.as_ref().map(|(c, _)| &c.limits)
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -253,11 +253,11 @@
     }
 
     fn head(&self, head: &http::Request) -> Result<Heard<()>, Bad> {
-        Ok(Heard::Say(match jig::api::Call::of(head.method, head.target) {
-            Some((jig::api::Call::Ready, _)) if self.shown.ready.load(Ordering::Relaxed) => {
+        Ok(Heard::Say(match settings::api::Call::of(head.method, head.target) {
+            Some((settings::api::Call::Ready, _)) if self.shown.ready.load(Ordering::Relaxed) => {
                 Answer::text(200, "ready\n")
             }
-            Some((jig::api::Call::Ready, _)) => Answer::text(503, "not ready\n"),
+            Some((settings::api::Call::Ready, _)) => Answer::text(503, "not ready\n"),
             _ => Answer::text(404, "no such call\n"),
         }))
     }
--- a/crates/proxy/tests/drill.rs
+++ b/crates/proxy/tests/drill.rs
@@ -7,8 +7,8 @@
 use cluster::state::Command;
 use cluster::talk::Lease;
 use common::*;
-use jig::drill::Drill;
 use proxy::front::{Input, Output, Reached};
+use settings::drill::Drill;
 
 /// For the tenant of k1, which has no limit.
 fn start(proxy: &mut Proxy, name: &str, fault: &str, rest: &str) -> u64 {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -8,12 +8,12 @@
 
 use crate::link::{Event, Line};
 use crate::turn::{Inbox, Machine};
-use jig::Settings;
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
 use net::mailbox::Mailbox;
 use net::room::Room;
 use serde::de::DeserializeOwned;
+use settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -90,7 +90,7 @@
                     .value_parser(clap::value_parser!(PathBuf))
                     .help(format!(
                         "The settings file; without it the variable {} names it",
-                        jig::settings::VARIABLE
+                        settings::settings::VARIABLE
                     )),
             )
             .arg(clap::Arg::new("chatty").long("chatty").action(clap::ArgAction::SetTrue).help(
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -80,7 +80,7 @@
         return ExitCode::SUCCESS;
     }
     let zones = [("a".to_string(), "north".to_string())];
-    let scheme = jig::Scheme::loopback([77, 1], 1, 1, &zones, "unused").expect("a scheme");
+    let scheme = settings::Scheme::loopback([77, 1], 1, 1, &zones, "unused").expect("a scheme");
     let part = &scheme.parts(true).expect("settings")[0];
     let settings = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("work-settings.json");
     std::fs::write(&settings, &part.settings).expect("written");
--- a/crates/jig/tests/api.rs
+++ b/crates/settings/tests/api.rs
@@ -1,11 +1,11 @@
 //! The calls in code against the file that states them.
 
-use jig::api::{self, Beat, CALLS, Call, Resolution, State};
-use jig::booking::Asked;
-use jig::drill::{Drill, key_name};
-use jig::rollout::Order;
-use jig::{Config, config};
 use jzon::JsonValue;
+use settings::api::{self, Beat, CALLS, Call, Resolution, State};
+use settings::booking::Asked;
+use settings::drill::{Drill, key_name};
+use settings::rollout::Order;
+use settings::{Config, config};
 use std::collections::BTreeSet;
 use yaml_rust2::{Yaml, YamlLoader};
 
--- a/crates/jig/tests/config.rs
+++ b/crates/settings/tests/config.rs
@@ -1,8 +1,8 @@
 //! What operators send: what is taken, what is refused and why, and what is read back.
 
-use jig::config::{if_match, show_version, version};
-use jig::{Config, Kind};
 use jzon::JsonValue;
+use settings::config::{if_match, show_version, version};
+use settings::{Config, Kind};
 
 const BASE: &str = r#"{"config_version":"0000000a","note":{"by":["ops",1.50]},
 "route_list":{"extra":7,"column_set":["colour","entity_name","host_name","path_prefix","route_kind",
--- a/crates/jig/tests/scheme.rs
+++ b/crates/settings/tests/scheme.rs
@@ -1,7 +1,7 @@
 //! Schemes of whole installations, and the settings that are made of them.
 
-use jig::scheme::Program;
-use jig::{Scheme, Settings};
+use settings::scheme::Program;
+use settings::{Scheme, Settings};
 
 const FILE: &str = r#"{"zones": {"north-a": "north", "south-a": "south"}, "data_directory": "/var/lib/curlewfront/",
     "core": [{"ip_address": "10.0.0.4", "zone_name": "north-a", "node_name": "attic"},
--- a/crates/jig/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What a process is told.
 
-use jig::Settings;
+use settings::Settings;
 
 const FILE: &str = r#"{
 "self_node":{"node_name":"front-north-a-1","node_role":"gate","machine_class":"edge","served_roles":["edge"],
