--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -110,8 +110,8 @@
 fn next(dir: &Path, scheme: &Scheme, parts: &[Part]) -> String {
     let mut out = format!("{} settings files in {}\n\n", parts.len(), dir.display());
     for part in parts {
-        let (program, file) = (part.program.name(), dir.join(part.file()));
-        let _ = writeln!(out, "{:11} curlewfront-{program} --settings {}", part.machine.name, file.display());
+        let (program, file) = (part.program.binary(), dir.join(part.file()));
+        let _ = writeln!(out, "{:11} {program} --settings {}", part.machine.name, file.display());
     }
     let proxies = parts.iter().filter(|p| p.program == Program::Proxy).count();
     let seeds: Vec<String> = scheme.seeds().iter().map(ToString::to_string).collect();
--- a/crates/dryfit/src/net.rs
+++ b/crates/dryfit/src/net.rs
@@ -5,7 +5,7 @@
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
 use cluster::talk::Here;
-use pegboard::calls;
+use registry::calls;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
--- a/crates/dryfit/src/operators.rs
+++ b/crates/dryfit/src/operators.rs
@@ -7,7 +7,7 @@
 use crate::record::{self, Fate, Kind, Look, Repeat};
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
-use pegboard::calls;
+use registry::calls;
 use settings::Config;
 use settings::config::show_version;
 use std::rc::Rc;
--- a/crates/dryfit/src/outside.rs
+++ b/crates/dryfit/src/outside.rs
@@ -9,7 +9,7 @@
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
 use cluster::booking::Phase;
-use pegboard::calls;
+use registry::calls;
 use settings::Config;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/dryfit/src/process.rs
+++ b/crates/dryfit/src/process.rs
@@ -11,13 +11,13 @@
 use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
 use consensus::{Saved, Write};
 use net::limits::Held;
-use pegboard::board::{self, Board, Terms};
 use planchest::chest::{self, Chest, Peer};
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::watch::Watch;
+use registry::board::{self, Board, Terms};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -225,7 +225,7 @@
                     sync_us: self.record.bounds.sync,
                     settle_us: self.record.bounds.config_apply,
                     zones_lost: 1,
-                    repeat_us: pegboard::board::REPEAT_US,
+                    repeat_us: registry::board::REPEAT_US,
                 };
                 let board = Board::new(terms, 0);
                 let (store, peers, calls) = Default::default();
--- a/crates/dryfit/src/rollout.rs
+++ b/crates/dryfit/src/rollout.rs
@@ -9,7 +9,7 @@
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
 use miette::{Result, miette};
-use pegboard::calls;
+use registry::calls;
 use settings::rollout::Progress;
 use std::rc::Rc;
 
--- a/crates/dryfit/src/world.rs
+++ b/crates/dryfit/src/world.rs
@@ -12,7 +12,7 @@
 use crate::{MS, Micros, SECOND};
 use cluster::booking::Phase;
 use cluster::talk::Here;
-use pegboard::calls;
+use registry::calls;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/lab/src/system/machines.rs
+++ b/crates/lab/src/system/machines.rs
@@ -293,7 +293,7 @@
         };
         let mut processes = Vec::new();
         for part in scheme.parts(true).map_err(|e| e.to_string())? {
-            let binary = bin.join(format!("curlewfront-{}", part.program.name()));
+            let binary = bin.join(part.program.binary());
             if !binary.exists() {
                 return Err(format!("{}: no such program; `make system-demo` builds it", binary.display()));
             }
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -5,9 +5,9 @@
 use cluster::copy::Copy;
 use cluster::talk::{Reading, Usage, tenant_key};
 use common::*;
-use pegboard::meter::Meter;
 use proxy::book::{Book, Even};
 use proxy::tenants::{Quota, Tenants};
+use registry::meter::Meter;
 
 const EVERY: u64 = SECOND / 3;
 
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -4,9 +4,9 @@
 use cluster::state::{Command, Node};
 use cluster::talk::{Down, FromStore, Gossip, Head, News, Standing, ToStore, Up, Use};
 use cluster::{Micros, Rev};
-use pegboard::board::{self, Board, Terms};
 use proxy::feed::{Feed, Input, Output};
 use proxy::tree;
+use registry::board::{self, Board, Terms};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/tests/watch.rs
+++ b/crates/proxy/tests/watch.rs
@@ -4,8 +4,8 @@
 use cluster::state::{Command, Node, NodeChange};
 use cluster::talk::{Here, Seen};
 use cluster::{Micros, watch};
-use pegboard::presence::Presence;
 use proxy::watch::Watch;
+use registry::presence::Presence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/pegboard/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,4 +1,4 @@
-//! The shell of the registry: listeners and links around `pegboard::board`. It takes the outside calls for the store of
+//! The shell of the registry: listeners and links around `registry::board`. It takes the outside calls for the store of
 //! configuration too.
 
 use cluster::Rev;
@@ -8,8 +8,8 @@
 use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds};
 use net::limits::Held;
-use pegboard::board::{Board, Input, Output, REPEAT_US, Terms};
-use pegboard::calls::{self, Request};
+use registry::board::{Board, Input, Output, REPEAT_US, Terms};
+use registry::calls::{self, Request};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
@@ -41,7 +41,7 @@
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-pegboard", "Knows curlewfront's servers and proxies, and takes the calls", work)
+    runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", work)
 }
 
 fn work(mut start: Start) -> Result<()> {
--- a/crates/pegboard/tests/cut_off.rs
+++ b/crates/registry/tests/cut_off.rs
@@ -5,7 +5,7 @@
 use cluster::state::{Command, Done, NodeChange, ServerChange};
 use cluster::talk::{Down, FRESH_US, FromStore, Gossip, ToStore, Unsure, Up};
 use common::*;
-use pegboard::board::{Input, Output};
+use registry::board::{Input, Output};
 
 const KNOWN: &str = "/api/instances/i-1";
 
--- a/crates/pegboard/tests/meter.rs
+++ b/crates/registry/tests/meter.rs
@@ -6,8 +6,8 @@
 use cluster::state::{Change, Command};
 use cluster::talk::{Down, Reading, Up, Usage, Use, tenant_key};
 use common::*;
-use pegboard::board::{Input, Output};
-use pegboard::meter::Meter;
+use registry::board::{Input, Output};
+use registry::meter::Meter;
 
 fn commands() -> Vec<Command> {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
--- a/crates/pegboard/tests/rollout_errors/play.rs
+++ b/crates/registry/tests/rollout_errors/play.rs
@@ -3,7 +3,7 @@
 
 use cluster::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
 use fastrand::Rng;
-use pegboard::rollouts::{Ground, Tallies};
+use registry::rollouts::{Ground, Tallies};
 use std::net::Ipv4Addr;
 
 /// All times in ticks of so many microseconds.
--- a/crates/pegboard/tests/verdict.rs
+++ b/crates/registry/tests/verdict.rs
@@ -1,7 +1,7 @@
 //! What a registry makes of tallies: by the counts alone, whenever and however often they come.
 
 use cluster::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
-use pegboard::rollouts::{Ground, Tallies};
+use registry::rollouts::{Ground, Tallies};
 use std::net::Ipv4Addr;
 
 const SECOND: u64 = 1_000_000;
--- a/crates/settings/src/scheme.rs
+++ b/crates/settings/src/scheme.rs
@@ -62,7 +62,7 @@
 }
 
 impl Program {
-    /// As in `deploy/system.toml`; the programs' files have `curlewfront-` before it.
+    /// The role's name in `deploy/system.toml` and in settings files.
     pub fn name(self) -> &'static str {
         match self {
             Program::Store => "planchest",
@@ -70,6 +70,15 @@
             Program::Proxy => "proxy",
         }
     }
+
+    /// The file name of the program.
+    pub fn binary(self) -> &'static str {
+        match self {
+            Program::Store => "curlewfront-planchest",
+            Program::Registry => "curlewfront-registry",
+            Program::Proxy => "curlewfront-proxy",
+        }
+    }
 }
 
 impl Part {
