--- a/Makefile
+++ b/Makefile
@@ -33,6 +33,6 @@
 
 # The whole system: three core machines, four proxies, stand-in servers, clients and an operator; its leader is killed.
 system-demo:
-	cargo build --release --locked -p curlewfront-planchest -p curlewfront-registry -p curlewfront-proxy -p curlewfront-lab
+	cargo build --release --locked -p curlewfront-config-store -p curlewfront-registry -p curlewfront-proxy -p curlewfront-lab
 	target/release/curlewfront-lab system run lab/scenarios/system-demo.txt --out lab-out/system-demo
 	@echo "table, charts and logs: lab-out/system-demo"
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CommandError;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use planchest::store;
+use config_store::store;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 
--- a/crates/planchest/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,11 +1,11 @@
-//! The shell of the store of configuration: links, disk and time around `planchest::chest`.
+//! The shell of the store of configuration: links, disk and time around `config_store::chest`.
 
 use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
+use config_store::chest::{Chest, Input, Output, Peer, Standing};
 use consensus::disk::Store;
 use consensus::{Saved, Write};
 use miette::{Result, miette};
 use net::Micros;
-use planchest::chest::{Chest, Input, Output, Peer, Standing};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
@@ -31,7 +31,7 @@
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-planchest", "Keeps what curlewfront's machines agree on", work)
+    runtime::run("curlewfront-config-store", "Keeps what curlewfront's machines agree on", work)
 }
 
 /// So many that a majority is left when those are lost whose loss is to be borne; none: not told.
--- a/crates/planchest/tests/catching_up.rs
+++ b/crates/config-store/tests/catching_up.rs
@@ -1,8 +1,8 @@
 //! A store that comes back: what it may say of itself before it has all, and what of a later program it refuses.
 
 use cluster::state::{Command, State};
+use config_store::chest::{Chest, Input, Output, Peer};
 use consensus::{Entry, Message, Payload, Roster, Saved};
-use planchest::chest::{Chest, Input, Output, Peer};
 use std::net::Ipv4Addr;
 
 const LEADER: Ipv4Addr = ip(1);
--- a/crates/planchest/tests/chest.rs
+++ b/crates/config-store/tests/chest.rs
@@ -3,8 +3,8 @@
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, ToStore, Unsure};
+use config_store::chest::{Chest, Input, Output, Peer};
 use consensus::Saved;
-use planchest::chest::{Chest, Input, Output, Peer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
--- a/crates/planchest/tests/forms.rs
+++ b/crates/config-store/tests/forms.rs
@@ -2,16 +2,16 @@
 //! kept as that program wrote them (`forms/`); the values that they stand for are made here by code. Rows of a newer form
 //! are refused by its number.
 //!
-//! After a change of form, the file of the old one stays, and `cargo test -p curlewfront-planchest --test forms --
+//! After a change of form, the file of the old one stays, and `cargo test -p curlewfront-config-store --test forms --
 //! --ignored` with `FORMS=NAME` writes one more.
 
 use cluster::booking::{BookChange, Booking, Unused};
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange, State};
 use cluster::talk::StorePeer;
+use config_store::chest::Chest;
+use config_store::store;
 use consensus::disk::{Store, sealed, unsealed};
 use consensus::{Entry, Hard, Member, Message, Payload, Roster, Saved, Snapshot, decode, encode};
-use planchest::chest::Chest;
-use planchest::store;
 use redb::{Database, ReadableTable, TableDefinition};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -247,7 +247,7 @@
     let mut chest = Chest::new(ME, DISK, found, vec![ip(2)], 1, 0).expect("its state is read");
     assert_eq!(chest.copy.state.version(), 1);
     let mut out = Vec::new();
-    chest.handle(1, planchest::chest::Input::Tick, &mut out);
+    chest.handle(1, config_store::chest::Input::Tick, &mut out);
     drop(store);
     let told = store::check(&folder.0).expect("sound");
     assert!(told.contains("votes and counts") && told.contains("configuration  00000001"), "{told}");
--- a/crates/planchest/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -2,10 +2,10 @@
 
 use cluster::state::{Command, State};
 use cluster::talk::ToStore;
+use config_store::chest::{Chest, Input, Output};
+use config_store::store;
 use consensus::disk::{self, Store};
 use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
-use planchest::chest::{Chest, Input, Output};
-use planchest::store;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -148,7 +148,7 @@
 struct Site {
     now: u64,
     machines: BTreeMap<Ipv4Addr, (Chest, Saved)>,
-    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, planchest::chest::Peer)>,
+    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::chest::Peer)>,
     acked: usize,
 }
 
--- a/crates/lab/src/system/mod.rs
+++ b/crates/lab/src/system/mod.rs
@@ -1,4 +1,4 @@
-//! Days of the whole system with real processes: `curlewfront-planchest`, `-registry` and `-proxy` as child processes on
+//! Days of the whole system with real processes: `curlewfront-config-store`, `-registry` and `-proxy` as child processes on
 //! addresses of 127.0.0.0/8; servers, clients and an operator in this process; what they saw, judged by the same judge
 //! as days on simulated time. `docs/lab/system.md` says how it is used, and what it cannot play.
 
--- a/crates/lab/tests/signals.rs
+++ b/crates/lab/tests/signals.rs
@@ -17,7 +17,7 @@
 /// had ended by itself 41 ms after its start, with an empty log, 53 ms after SIGHUP had gone to all.
 #[test]
 fn a_hangup_while_settings_are_read_ends_no_program() {
-    let programs = ["curlewfront-planchest", "curlewfront-registry", "curlewfront-proxy"];
+    let programs = ["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"];
     let bin = common::built(&programs);
     for program in programs {
         let pipe = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{program}.settings"));
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -213,7 +213,7 @@
 /// hang reaches.
 #[test]
 fn a_short_soak_keeps_all_rules() {
-    let bin = common::built(&["curlewfront-planchest", "curlewfront-registry", "curlewfront-proxy"]);
+    let bin = common::built(&["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"]);
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak");
     let (seeds, shape) = (vec![5, 6, 7], Shape::small());
     let options = Options { out, bin, seeds, shape, jobs: 3, processes: 100, keep_all: false };
@@ -229,7 +229,7 @@
 // their counts along. All rules are judged, too, as in the other days of the short run.
 #[test]
 fn a_short_soak_of_planned_work_completes_no_bad_version() {
-    let bin = common::built(&["curlewfront-planchest", "curlewfront-registry", "curlewfront-proxy"]);
+    let bin = common::built(&["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"]);
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak-planned");
     let script = Script::read(&schedule::draw(&Shape::small(), 5)).expect("a script");
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
--- a/crates/lab/tests/system.rs
+++ b/crates/lab/tests/system.rs
@@ -17,7 +17,7 @@
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let script = Script::read(text).expect("a proper scenario");
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let bin = common::built(&["curlewfront-planchest", "curlewfront-registry", "curlewfront-proxy"]);
+    let bin = common::built(&["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"]);
     let options = Options { out, bin, seed, loud: false, verbose: false };
     runtime.block_on(system::run(&script, &options)).expect("a day")
 }
--- a/crates/settings/src/scheme.rs
+++ b/crates/settings/src/scheme.rs
@@ -74,7 +74,7 @@
     /// The file name of the program.
     pub fn binary(self) -> &'static str {
         match self {
-            Program::Store => "curlewfront-planchest",
+            Program::Store => "curlewfront-config-store",
             Program::Registry => "curlewfront-registry",
             Program::Proxy => "curlewfront-proxy",
         }
