--- a/crates/lab/src/launch.rs
+++ b/crates/lab/src/launch.rs
@@ -2,11 +2,11 @@
 //! even part by its own clock. Tells by second how long booked and other requests took.
 
 use crate::report::{Series, draw_lines, font};
-use dryfit::hunt::play;
-use dryfit::record::{Record, Request};
-use dryfit::scenario::{Rooms, Scenario, What};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
+use simulator::hunt::play;
+use simulator::record::{Record, Request};
+use simulator::scenario::{Rooms, Scenario, What};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::Path;
@@ -66,7 +66,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let scenario = Scenario::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let booked = scenario.events.iter().find_map(|(_, what)| match what {
-        What::Change { wish: dryfit::Wish::Book(b), .. } => Some(b.clone()),
+        What::Change { wish: simulator::Wish::Book(b), .. } => Some(b.clone()),
         _ => None,
     });
     let booked = booked.ok_or_else(|| format!("{}: nothing is booked", path.display()))?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -77,7 +77,7 @@
     },
     /// Plays launches on simulated time: room booked ahead against no booking and against each proxy by its own clock.
     LaunchMeasure {
-        /// The day, as dryfit plays it.
+        /// The day, as the simulator plays it.
         #[arg(long, default_value = "lab/launch.txt")]
         scenario: PathBuf,
         /// Where the table and the chart go.
@@ -133,9 +133,9 @@
 
 #[derive(Subcommand)]
 enum System {
-    /// Plays a scenario as `dryfit` does, in real seconds; what cannot be played so is said.
+    /// Plays a scenario as the simulator does, in real seconds; what cannot be played so is said.
     Run {
-        /// The scenario, text; docs/system/dryfit.md says what there is.
+        /// The scenario, text; docs/system/simulator.md says what there is.
         scenario: PathBuf,
         /// Settings, logs, tables and charts.
         #[arg(long, default_value = "lab-out/system")]
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -10,9 +10,9 @@
 
 use crate::system::{self, rollouts::Script};
 use budget::ProcessBudget;
-use dryfit::scenario::Scenario;
 use report::{Report, Row};
 use shape::Shape;
+use simulator::scenario::Scenario;
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/lab/src/soak/report.rs
+++ b/crates/lab/src/soak/report.rs
@@ -2,7 +2,7 @@
 
 use super::schedule::Kind;
 use crate::system::Day;
-use dryfit::scenario::Scenario;
+use simulator::scenario::Scenario;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -2,9 +2,9 @@
 
 use super::shape::Shape;
 use crate::system::rollouts::Quality;
-use dryfit::plan::Flaw;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng, rngs::StdRng};
+use simulator::plan::Flaw;
 use std::fmt::Write;
 
 /// Traffic runs between these, in seconds; what is done is done between them.
--- a/crates/lab/src/system/connections.rs
+++ b/crates/lab/src/system/connections.rs
@@ -2,8 +2,8 @@
 
 use super::log::lock;
 use crate::http::Conn;
-use dryfit::Micros;
-use dryfit::record::Host;
+use simulator::Micros;
+use simulator::record::Host;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
--- a/crates/lab/src/system/handlers.rs
+++ b/crates/lab/src/system/handlers.rs
@@ -1,9 +1,9 @@
 //! Whether a process that was started has its signal handlers in place. A signal that comes before ends it, and no program
 //! can guard against that, so the rig waits; and as a program that takes long is a fault, the wait is judged.
 
-use dryfit::{Micros, SECOND};
 use nix::sys::signal::Signal;
 use nix::unistd::Pid;
+use simulator::{Micros, SECOND};
 
 /// From the start of a process until its handlers are in place, at the most.
 pub const HANDLERS_LIMIT: Micros = 3 * SECOND;
--- a/crates/lab/src/system/log.rs
+++ b/crates/lab/src/system/log.rs
@@ -1,14 +1,14 @@
-//! What is seen in a day of real processes, as it happens; and the record that `dryfit::judge` judges, made of it.
+//! What is seen in a day of real processes, as it happens; and the record that `simulator::judge` judges, made of it.
 
 use super::observed::Observed;
 use super::{SECOND, TRAFFIC};
-use dryfit::Micros;
-use dryfit::judge::Breach;
-use dryfit::record::{
+use settings::Config;
+use simulator::Micros;
+use simulator::judge::Breach;
+use simulator::record::{
     Arrival, Bounds, Change, Closing, Cold, Evacuation, Fate, Host, Leave, Look, ReadBack, Record, Repeat,
     Request, Trouble, Try,
 };
-use settings::Config;
 use std::rc::Rc;
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
@@ -168,10 +168,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use dryfit::judge::judge;
-    use dryfit::plan::{HOST, Plan};
-    use dryfit::record::Answer;
-    use dryfit::scenario::Scenario;
+    use simulator::judge::judge;
+    use simulator::plan::{HOST, Plan};
+    use simulator::record::Answer;
+    use simulator::scenario::Scenario;
 
     /// A day as the rig puts it down: two configurations, requests of every kind that were served at the first try.
     fn good() -> Book {
--- a/crates/lab/src/system/observed.rs
+++ b/crates/lab/src/system/observed.rs
@@ -2,8 +2,8 @@
 //! readiness, and the time that servers were handed.
 
 use super::rollouts::Quality;
-use dryfit::Micros;
-use dryfit::record::{Fate, Host};
+use simulator::Micros;
+use simulator::record::{Fate, Host};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A process was asked whether it is ready.
--- a/crates/lab/src/system/operator.rs
+++ b/crates/lab/src/system/operator.rs
@@ -8,11 +8,11 @@
 use super::play::Armed;
 use super::rollouts::PlannedRollout;
 use super::{MS, SECOND};
-use dryfit::Micros;
-use dryfit::plan::{Plan, Wish};
-use dryfit::record::{Bounds, Evacuation, Fate, Repeat};
-use dryfit::scenario::Scenario;
 use rand::{Rng, SeedableRng, rngs::StdRng};
+use simulator::Micros;
+use simulator::plan::{Plan, Wish};
+use simulator::record::{Bounds, Evacuation, Fate, Repeat};
+use simulator::scenario::Scenario;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
--- a/crates/lab/src/system/rollout_rules.rs
+++ b/crates/lab/src/system/rollout_rules.rs
@@ -3,9 +3,9 @@
 
 use super::observed::{Observed, OrderedRollout, RolloutState, RolloutView};
 use super::rollouts::{Quality, server_prefix};
-use dryfit::judge::Breach;
-use dryfit::record::{Arrival, Fate, Record, Try};
-use dryfit::{Micros, SECOND};
+use simulator::judge::Breach;
+use simulator::record::{Arrival, Fate, Record, Try};
+use simulator::{Micros, SECOND};
 
 /// A bad version gets this part of its service's requests at the most, and so many more.
 pub const EXPOSURE_SHARE: f64 = 0.1;
--- a/crates/lab/src/system/rollouts.rs
+++ b/crates/lab/src/system/rollouts.rs
@@ -3,8 +3,8 @@
 //! `at 12 rollout tiro errors term 14`: at that second an operator orders that `tiro` moves to a new version, within 14 s. As
 //! many servers of that version as the service has at first start beside the old ones. Versions are numbered by the lines.
 
-use dryfit::scenario::Scenario;
-use dryfit::{Micros, SECOND};
+use simulator::scenario::Scenario;
+use simulator::{Micros, SECOND};
 
 /// A version that turns bad later does so this long after the start of each server.
 pub const LATE_AFTER: Micros = 3 * SECOND;
@@ -58,7 +58,7 @@
     pub term: Micros,
 }
 
-/// A day of real processes: what `dryfit` can play as well, and the rollouts.
+/// A day of real processes: what `simulator` can play as well, and the rollouts.
 pub struct Script {
     pub scenario: Scenario,
     pub rollouts: Vec<PlannedRollout>,
--- a/crates/lab/src/system/rules.rs
+++ b/crates/lab/src/system/rules.rs
@@ -1,11 +1,11 @@
-//! Rules that need more than the record of `dryfit`: connections that are kept, readiness, the directory's answers, and the
+//! Rules that need more than the record of `simulator`: connections that are kept, readiness, the directory's answers, and the
 //! time that is handed on. Each is judged from what clients, servers and the platform saw.
 
 use super::observed::{Observed, Readiness};
-use dryfit::judge::Breach;
-use dryfit::plan::DEADLINE;
-use dryfit::record::{Host, Record, Trouble, Try};
-use dryfit::{Micros, SECOND};
+use simulator::judge::Breach;
+use simulator::plan::DEADLINE;
+use simulator::record::{Host, Record, Trouble, Try};
+use simulator::{Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Requests cut off on kept connections, sent on too often, or met after their client has gone: so many are forgiven.
@@ -200,14 +200,14 @@
     /// CONFIG: routes that were added are served as those of the first configuration are.
     fn added_routes(&self) -> Option<Breach> {
         let first = self.record.changes.first()?;
-        let names = |c: &dryfit::record::Change| -> BTreeSet<String> {
+        let names = |c: &simulator::record::Change| -> BTreeSet<String> {
             c.config.routes.iter().map(|r| format!("/{}/", r.name)).collect()
         };
         let firsts = names(first);
         // When each route that is there at the end was acknowledged.
         let mut added: BTreeMap<String, Micros> = BTreeMap::new();
         for change in &self.record.changes {
-            if let dryfit::record::Fate::Acknowledged(at) = change.fate
+            if let simulator::record::Fate::Acknowledged(at) = change.fate
                 && !change.invalid
             {
                 let now = names(change);
--- a/crates/lab/src/system/table.rs
+++ b/crates/lab/src/system/table.rs
@@ -3,9 +3,9 @@
 
 use super::{Day, SECOND, TRAFFIC};
 use crate::report::{Series, draw_lines, font, histogram, ms};
-use dryfit::record::Record;
 use hdrhistogram::Histogram;
 use plotters::style::{BLUE, GREEN, RED};
+use simulator::record::Record;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/lab/tests/rollouts.rs
+++ b/crates/lab/tests/rollouts.rs
@@ -4,10 +4,10 @@
 use curlewfront_lab::system::observed::{BadAnswer, Observed, OrderedRollout, RolloutState, RolloutView};
 use curlewfront_lab::system::rollout_rules::{Verdict, judge};
 use curlewfront_lab::system::rollouts::{Quality, Script, server_prefix};
-use dryfit::hunt::play;
-use dryfit::record::{Fate, Record, Trouble};
-use dryfit::scenario::Scenario;
-use dryfit::{MS, Micros, SECOND};
+use simulator::hunt::play;
+use simulator::record::{Fate, Record, Trouble};
+use simulator::scenario::Scenario;
+use simulator::{MS, Micros, SECOND};
 
 const DAY: &str = "seconds 46\nrate 100";
 const SERVICE: &str = "tiro";
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,5 +1,5 @@
 //! The soak: what its schedules hold, what its rules catch, and a short run of it. Every rule that it judges beside those of
-//! `dryfit` has a breach planted in the record of a good day.
+//! `simulator` has a breach planted in the record of a good day.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use curlewfront_lab::system::observed::{LateHandlers, Observed, Readiness, StaleAddress, TimeHanded};
 use curlewfront_lab::system::rollouts::Script;
 use curlewfront_lab::system::{self, rules};
-use dryfit::SECOND;
-use dryfit::hunt::play;
-use dryfit::record::{Answer, Host, Record, Trouble};
-use dryfit::scenario::Scenario;
+use simulator::SECOND;
+use simulator::hunt::play;
+use simulator::record::{Answer, Host, Record, Trouble};
+use simulator::scenario::Scenario;
 use std::path::PathBuf;
 
 const DAY: &str = "
--- a/crates/lab/tests/system.rs
+++ b/crates/lab/tests/system.rs
@@ -6,7 +6,7 @@
 use curlewfront_lab::system::observed::RolloutState;
 use curlewfront_lab::system::rollouts::Script;
 use curlewfront_lab::system::{self, Day, Options};
-use dryfit::record::Fate;
+use simulator::record::Fate;
 use std::path::PathBuf;
 
 fn play(name: &str, text: &str) -> Day {
--- a/crates/dryfit/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,11 +1,11 @@
-//! `dryfit`: plays scenarios and days by chance.
+//! `curlewfront-simulator`: plays scenarios and days by chance.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use dryfit::hunt::{self, Played};
-use dryfit::load::{self, Size};
-use dryfit::scenario::Scenario;
-use dryfit::{seconds, weigh};
 use miette::{Result, miette};
+use simulator::hunt::{self, Played};
+use simulator::load::{self, Size};
+use simulator::scenario::Scenario;
+use simulator::{seconds, weigh};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -25,7 +25,7 @@
     let rollouts = Arg::new("rollouts").long("rollouts").action(ArgAction::SetTrue).conflicts_with("answers");
     let rollouts = rollouts.help("Days of two rollouts beside faults");
     let file = Arg::new("scenario").required(true).value_parser(value_parser!(PathBuf));
-    Command::new("dryfit")
+    Command::new("curlewfront-simulator")
         .about("Plays days of curlewfront's programs on simulated time, and judges them")
         .subcommand_required(true)
         .subcommand(Command::new("run").about("Plays one scenario").args([
@@ -89,7 +89,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            eprintln!("dryfit: {why}");
+            eprintln!("curlewfront-simulator: {why}");
             ExitCode::FAILURE
         }
     }
@@ -191,7 +191,7 @@
             load::row(size, "calm", &calm, record.cores),
             load::row(size, "wave", &wave, record.cores)
         );
-        let breaches = dryfit::judge::judge(&record);
+        let breaches = simulator::judge::judge(&record);
         for b in breaches.iter().take(5) {
             eprintln!("{} proxies: {}: {}", size.edges, b.rule, b.what);
         }
--- a/crates/dryfit/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: small text files, one statement a line. What there is to say is in `docs/system/dryfit.md`.
+//! Scenarios: small text files, one statement a line. What there is to say is in `docs/system/simulator.md`.
 
 use crate::odd::{self, Odd};
 use crate::plan::{Flaw, Wish};
--- a/crates/dryfit/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,7 +1,7 @@
-//! Days drawn by chance keep every rule. What a seed breaks is played again by `dryfit day --seed N`.
+//! Days drawn by chance keep every rule. What a seed breaks is played again by `curlewfront-simulator day --seed N`.
 
-use dryfit::hunt::{draw, draw_answers, draw_rollouts, play, report};
-use dryfit::scenario::Scenario;
+use simulator::hunt::{draw, draw_answers, draw_rollouts, play, report};
+use simulator::scenario::Scenario;
 
 const DAYS: u64 = if cfg!(debug_assertions) { 30 } else { 150 };
 
--- a/crates/dryfit/tests/history.rs
+++ b/crates/simulator/tests/history.rs
@@ -1,10 +1,10 @@
 //! The checker of operators' histories catches what is planted in the record of a day with several operators.
 
-use dryfit::hunt::play;
-use dryfit::judge::judge;
-use dryfit::record::{Change, Fate, Look, Record, Repeat};
-use dryfit::scenario::Scenario;
-use dryfit::{MS, SECOND};
+use simulator::hunt::play;
+use simulator::judge::judge;
+use simulator::record::{Change, Fate, Look, Record, Repeat};
+use simulator::scenario::Scenario;
+use simulator::{MS, SECOND};
 use std::sync::OnceLock;
 
 const DAY: &str = "
--- a/crates/dryfit/tests/odd.rs
+++ b/crates/simulator/tests/odd.rs
@@ -1,9 +1,9 @@
 //! The stranger troubles do what their statements say: each leaves its mark in the record, where and while it should.
 
-use dryfit::hunt::play;
-use dryfit::record::{Arrival, Record, Try};
-use dryfit::scenario::Scenario;
-use dryfit::{MS, SECOND};
+use simulator::hunt::play;
+use simulator::record::{Arrival, Record, Try};
+use simulator::scenario::Scenario;
+use simulator::{MS, SECOND};
 use std::collections::BTreeSet;
 
 fn record(day: &str) -> Record {
--- a/crates/dryfit/tests/planted.rs
+++ b/crates/simulator/tests/planted.rs
@@ -1,13 +1,13 @@
 //! Each rule catches a breach of it that is planted in the record of a good day.
 
-use dryfit::hunt::{others_differ, play, without_drills};
-use dryfit::judge::judge;
-use dryfit::record::{
+use settings::rollout::Progress;
+use simulator::hunt::{others_differ, play, without_drills};
+use simulator::judge::judge;
+use simulator::record::{
     Answer, Arrival, Closing, Cold, Dark, Fate, Record, Spoken, Trouble, Try, Unheard, Vouched,
 };
-use dryfit::scenario::Scenario;
-use dryfit::{MS, SECOND};
-use settings::rollout::Progress;
+use simulator::scenario::Scenario;
+use simulator::{MS, SECOND};
 use std::rc::Rc;
 
 /// A day with one of everything.
@@ -299,7 +299,7 @@
                     && t.key.as_deref() == Some("key-t0")
                     && (21 * SECOND..28 * SECOND).contains(&t.sent)
             };
-            let holds = |h: Option<&dryfit::record::Held>| h.is_some_and(|h| h.first > 0);
+            let holds = |h: Option<&simulator::record::Held>| h.is_some_and(|h| h.first > 0);
             let fits =
                 |t: &&mut Try| alone(t) && holds(r.held.iter().rfind(|h| h.edge == t.edge && h.at < t.sent));
             for t in r.tries.iter_mut().filter(fits) {
@@ -365,7 +365,7 @@
 /// The same seed is the same day.
 #[test]
 fn chance_comes_from_the_seed_alone() {
-    let text = dryfit::hunt::draw(11);
+    let text = simulator::hunt::draw(11);
     let scenario = Scenario::read(&text).expect("a scenario");
     let of = |seed| format!("{:?}", play(&scenario, seed, false).record);
     assert_eq!(of(3), of(3));
--- a/crates/dryfit/tests/rollouts.rs
+++ b/crates/simulator/tests/rollouts.rs
@@ -1,11 +1,11 @@
 //! What scenarios say of rollouts comes about: servers start and stop as they should, and each kind of bad version is bad
 //! in its own way alone.
 
-use dryfit::hunt::play;
-use dryfit::record::{Arrival, Record, Try};
-use dryfit::scenario::Scenario;
-use dryfit::{MS, Micros, SECOND};
 use settings::rollout::Progress;
+use simulator::hunt::play;
+use simulator::record::{Arrival, Record, Try};
+use simulator::scenario::Scenario;
+use simulator::{MS, Micros, SECOND};
 
 /// A day with a rollout at 10 s, and more.
 fn day(order: &str, more: &str) -> Record {
@@ -57,7 +57,7 @@
     assert_eq!(zones(true).len(), 12);
     assert_eq!(zones(true), zones(false));
     assert!(at_version(&r, true).all(|(_, a)| a.at > r.rollouts[0].sent));
-    let cold = |c: &&dryfit::record::Cold| r.versions.contains_key(&c.server);
+    let cold = |c: &&simulator::record::Cold| r.versions.contains_key(&c.server);
     assert_eq!(r.colds.iter().filter(cold).count(), 12);
 }
 
--- a/crates/dryfit/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Every file of `scenarios/` is played with several seeds and must hold what it says.
 
-use dryfit::hunt::{play, report};
-use dryfit::scenario::Scenario;
+use simulator::hunt::{play, report};
+use simulator::scenario::Scenario;
 use std::path::Path;
 
 const SEEDS: u64 = if cfg!(debug_assertions) { 1 } else { 4 };
--- a/crates/dryfit/tests/weigh.rs
+++ b/crates/simulator/tests/weigh.rs
@@ -1,9 +1,9 @@
 //! Sizes of the system, one part varied at a time: what is counted follows the part that was varied, and only that.
 
-use dryfit::load::{self, Size};
-use dryfit::plan::Plan;
-use dryfit::scenario::Scenario;
-use dryfit::weigh::{Lot, PeakAlloc, Weighed, plan, usage, weigh};
+use simulator::load::{self, Size};
+use simulator::plan::Plan;
+use simulator::scenario::Scenario;
+use simulator::weigh::{Lot, PeakAlloc, Weighed, plan, usage, weigh};
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -46,7 +46,7 @@
     assert_eq!(s.servers.iter().map(|x| x.1).sum::<usize>(), 12);
     assert_eq!((s.edges, s.tenants, s.routes, s.clients), (4, 40, 6, 40));
     let (_, record) = load::measure(size, 1).expect("it is played");
-    let breaches = dryfit::judge::judge(&record);
+    let breaches = simulator::judge::judge(&record);
     assert!(breaches.is_empty(), "{}: {}", breaches[0].rule, breaches[0].what);
     let tenants: BTreeSet<usize> = record.requests.iter().map(|r| r.tenant).collect();
     assert!(tenants.len() > 20, "more tenants than proxies ask for something: {}", tenants.len());
