--- a/crates/simhost/src/main.rs
+++ b/crates/bench-host/src/main.rs
@@ -15,12 +15,12 @@
         match reply {
             Ok(reply) => {
                 if writeln!(out, "{reply}").and_then(|()| out.flush()).is_err() {
-                    eprintln!("curlewfront-simhost: cannot write the reply to line {}", n + 1);
+                    eprintln!("curlewfront-bench-host: cannot write the reply to line {}", n + 1);
                     return ExitCode::FAILURE;
                 }
             }
             Err(why) => {
-                eprintln!("curlewfront-simhost: line {}: {why}", n + 1);
+                eprintln!("curlewfront-bench-host: line {}: {why}", n + 1);
                 return ExitCode::FAILURE;
             }
         }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/bench-host/tests/wire.rs
@@ -10,7 +10,7 @@
 }
 
 fn run(lines: &[String]) -> Ran {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_curlewfront-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_curlewfront-bench-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
