--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -2,7 +2,7 @@
 //! is given up and taken up again from the last version; the list at hand stays in force meanwhile. When the
 //! configuration names another discovery, the watch moves there at once.
 
-use crate::calls::Calls;
+use crate::backoff::Backoff;
 use crate::clients::BOUNDS;
 use crate::gate::Gate;
 use crate::messages::Told;
@@ -30,7 +30,7 @@
 
 pub fn start(gate: Arc<Gate>, mut pause: Alarm) -> io::Result<()> {
     let settings = &gate.config.settings;
-    let mut calls = Calls::new(settings.balancers, !settings.ask_for_list, gate.config.seed);
+    let mut backoff = Backoff::new(settings.balancers, !settings.ask_for_list, gate.config.seed);
     let work = move || {
         let (mut host, mut version) = (gate.config.discovery, gate.config.known.version);
         // The first call at once: the list saved here may name servers long gone, and whatever the agent holds of that
@@ -42,7 +42,7 @@
             if let Some(moved) = std::iter::from_fn(|| gate.list.pop()).last() {
                 // Another discovery may count its versions anew: all is asked for again, the list stays meanwhile.
                 (host, version) = (moved, 0);
-                calls.moved();
+                backoff.reset();
             }
             let before = version;
             let (mut beats, called_at) = (0, gate.room.clock.now());
@@ -52,7 +52,7 @@
                 "lines" => beats);
             // One that lasted no longer than a call may wait for its answer was turned away, whatever came before.
             let served = version != before || gate.room.clock.now() >= called_at + ANSWER_US;
-            wait = if served { calls.after_end() } else { calls.after_failure() };
+            wait = if served { backoff.after_watch_end() } else { backoff.after_failure() };
         }
     };
     // Reading JSON needs more room than connections do.
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,7 +1,7 @@
 //! curlewfront-gateway: one gateway on sockets around the decisions. The peers have a file each: clients,
 //! servers, discovery; the module owns the decisions. The sockets themselves are the work of `net`. All of it runs on one thread of coroutines.
 
-mod calls;
+mod backoff;
 mod clients;
 mod discovery;
 mod gate;
