--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! The gateway before its clients: reads the headers that its requests carry, and hands them to the module.
 
-use crate::gate::Gate;
-use crate::messages::{Asked, Told};
+use crate::messages::{ClientRequest, DecisionMessage};
 use crate::request;
+use crate::shared::Shared;
 use net::Micros;
 use net::door::{Answer, Desk, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds, Framing};
@@ -27,10 +27,10 @@
 /// What a connection is told that is ended before it has brought a request.
 const UNHEARD: Bad = Bad { status: 503, what: "ended before a request came" };
 
-pub struct Front(pub Arc<Gate>);
+pub struct ClientHandler(pub Arc<Shared>);
 
-impl Desk for Front {
-    type Ask = Box<Asked>;
+impl Desk for ClientHandler {
+    type Ask = Box<ClientRequest>;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
@@ -46,34 +46,34 @@
         }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Box<Asked>>, Bad> {
-        let gate = &self.0;
+    fn head(&self, head: &http::Request) -> Result<Heard<Box<ClientRequest>>, Bad> {
+        let shared = &self.0;
         if head.target != HEALTH && head.target != STATS {
-            return request::read(gate, head).map(|asked| Heard::Take(Box::new(asked)));
+            return request::read(shared, head).map(|asked| Heard::Take(Box::new(asked)));
         }
         if head.framing != Framing::Length(0) {
             return Err(Bad { status: 400, what: "a body where none belongs" });
         }
         Ok(Heard::Say(if head.target == STATS {
-            Answer::text(200, format!("{}\n", gate.stats()))
-        } else if gate.ready() {
+            Answer::text(200, format!("{}\n", shared.stats()))
+        } else if shared.ready() {
             Answer::text(200, "ready\n")
         } else {
             Answer::text(503, "no list yet\n")
         }))
     }
 
-    fn asked(&self, id: u64, mut asked: Box<Asked>, body: Held, reply: Reply) {
+    fn asked(&self, id: u64, mut asked: Box<ClientRequest>, body: Held, reply: Reply) {
         // `until` holds the time allowed up to here; it counts from the last byte.
         asked.until += self.0.room.clock.now();
         asked.id = id;
         asked.client = Some(reply);
         asked.passage = Passage { head: std::mem::take(&mut asked.passage.head), body };
-        self.0.module.post(Told::Asked(asked));
+        self.0.decisions.post(DecisionMessage::Request(asked));
     }
 
     fn withdrawn(&self, id: u64) {
-        self.0.module.post(Told::Withdrawn { id });
+        self.0.decisions.post(DecisionMessage::Withdrawn { id });
     }
 
     fn draining(&self) -> bool {
@@ -90,6 +90,6 @@
     }
 
     fn crowded(&self) {
-        self.0.module.post(Told::Crowded);
+        self.0.decisions.post(DecisionMessage::DescriptorsExhausted);
     }
 }
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/decisions.rs
@@ -1,9 +1,9 @@
-//! The module's actor: owns the decisions and the table of open requests. It hands events to the decisions,
+//! The actor's actor: owns the decisions and the table of open requests. It hands events to the decisions,
 //! one clock reading for each batch, and carries out what they answer. It decides nothing itself.
 
-use crate::gate::Gate;
-use crate::messages::{Asked, Carried, Ended, Told};
-use crate::servers::{self, Back};
+use crate::messages::{AttemptEnd, ClientRequest, DecisionMessage, InPoolGuard};
+use crate::servers::{self, ServerHandler};
+use crate::shared::Shared;
 use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, Return, State};
 use curlewfront_config::Members;
 use net::clock::Alarm;
@@ -42,7 +42,7 @@
 
 struct Try {
     server: u64,
-    to: Option<Peer<Back>>,
+    to: Option<Peer<ServerHandler>>,
     sent_at: Micros,
     out: bool,
 }
@@ -62,9 +62,9 @@
     latest_us: Micros,
 }
 
-struct Module {
-    gate: Arc<Gate>,
-    wire: Arc<Back>,
+struct DecisionActor {
+    shared: Arc<Shared>,
+    wire: Arc<ServerHandler>,
     decider: Decider,
     lives: u64,
     now: Micros,
@@ -77,7 +77,7 @@
     timer: Option<Micros>,
     list: HashMap<String, Entry>,
     /// The actors of the servers on the list, by the decisions' numbers.
-    peers: HashMap<u64, Peer<Back>>,
+    peers: HashMap<u64, Peer<ServerHandler>>,
     servers: u64,
     /// Numbers of zones, by name: those of the configuration and of servers on the list. A number is never
     /// given twice, so a name that leaves and comes back is a zone unlike any before, which can only forbid a
@@ -86,7 +86,7 @@
     next_zone: u32,
     acts: Vec<Action>,
     /// Outcomes that came of carrying out an action.
-    back: VecDeque<Ended>,
+    back: VecDeque<AttemptEnd>,
     counts: Counts,
     report_at: Micros,
     shown_at: Micros,
@@ -104,41 +104,41 @@
 const REPORT_US: Micros = 10_000_000;
 const SHOW_US: Micros = 100_000;
 
-pub fn start(gate: Arc<Gate>, decider: Decider, mut alarm: Alarm) {
-    let mut module = Module::new(gate, decider);
+pub fn start(shared: Arc<Shared>, decider: Decider, mut alarm: Alarm) {
+    let mut actor = DecisionActor::new(shared, decider);
     may::go!(move || {
-        let known = module.gate.config.known.clone();
-        module.members(&known, ListKind::Saved);
-        module.settle();
+        let known = actor.shared.config.known.clone();
+        actor.members(&known, ListKind::Saved);
+        actor.settle();
         let mut batch = Vec::with_capacity(BATCH);
         loop {
-            module.gate.module.take(BATCH, &mut batch);
+            actor.shared.decisions.take(BATCH, &mut batch);
             let more = batch.len() == BATCH;
-            module.now = module.gate.room.clock.now();
-            module.counts.batches += 1;
+            actor.now = actor.shared.room.clock.now();
+            actor.counts.batches += 1;
             for told in batch.drain(..) {
-                module.guard(|m| m.take(told));
+                actor.guard(|m| m.take(told));
             }
-            module.guard(Module::due);
-            module.show();
-            let next = module.next_due();
+            actor.guard(DecisionActor::due);
+            actor.show();
+            let next = actor.next_due();
             if more {
                 may::coroutine::yield_now();
             } else if let Err(e) = alarm.wait(next) {
-                slog::error!(module.gate.log, "cannot set a timer"; "error" => %e);
+                slog::error!(actor.shared.log, "cannot set a timer"; "error" => %e);
             }
         }
     });
 }
 
-impl Module {
-    fn new(gate: Arc<Gate>, decider: Decider) -> Module {
-        let now = gate.room.clock.now();
-        Module {
-            zones: gate.config.zones.iter().enumerate().map(|(n, z)| (z.clone(), n as u32)).collect(),
-            next_zone: gate.config.zones.len() as u32,
-            wire: Arc::new(Back(gate.clone())),
-            gate,
+impl DecisionActor {
+    fn new(shared: Arc<Shared>, decider: Decider) -> DecisionActor {
+        let now = shared.room.clock.now();
+        DecisionActor {
+            zones: shared.config.zones.iter().enumerate().map(|(n, z)| (z.clone(), n as u32)).collect(),
+            next_zone: shared.config.zones.len() as u32,
+            wire: Arc::new(ServerHandler(shared.clone())),
+            shared,
             decider,
             lives: 0,
             now,
@@ -159,7 +159,7 @@
     }
 
     /// A panic in one event must not end the gateway, nor leave its clients without an answer.
-    fn guard(&mut self, work: impl FnOnce(&mut Module)) {
+    fn guard(&mut self, work: impl FnOnce(&mut DecisionActor)) {
         let done = catch_unwind(AssertUnwindSafe(|| {
             work(self);
             self.settle();
@@ -169,10 +169,10 @@
         }
     }
 
-    fn take(&mut self, told: Told) {
+    fn take(&mut self, told: DecisionMessage) {
         match told {
-            Told::Asked(asked) => self.asked(*asked),
-            Told::Withdrawn { id } => {
+            DecisionMessage::Request(asked) => self.asked(*asked),
+            DecisionMessage::Withdrawn { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|o| !o.closed) {
                     open.closed = true;
                     self.counts.withdrawn += 1;
@@ -180,12 +180,12 @@
                     self.forget(id);
                 }
             }
-            Told::Ended(ended) => self.ended(ended),
-            Told::Members(members) => {
+            DecisionMessage::AttemptEnded(ended) => self.ended(ended),
+            DecisionMessage::ServerList(members) => {
                 let kind = if members.full { ListKind::Full } else { ListKind::Changes };
                 self.members(&members, kind);
             }
-            Told::Crowded => {
+            DecisionMessage::DescriptorsExhausted => {
                 for to in self.peers.values() {
                     to.close_idle();
                 }
@@ -193,9 +193,9 @@
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        let Asked { id, name, client, class, plan, customer, until, .. } = asked;
-        let Asked { units, most_units, spread, first, repeat, passage, .. } = asked;
+    fn asked(&mut self, asked: ClientRequest) {
+        let ClientRequest { id, name, client, class, plan, customer, until, .. } = asked;
+        let ClientRequest { units, most_units, spread, first, repeat, passage, .. } = asked;
         self.counts.asked += 1;
         if !self.names.insert(name.clone()) {
             // The owner goes on. Its name is free once nothing of it is out any more, its answer given or not.
@@ -226,8 +226,8 @@
     }
 
     /// An attempt has ended. One that was given up has had its outcome already.
-    fn ended(&mut self, ended: Ended) {
-        let Ended { id, attempt, mut outcome, used, units, answer, error } = ended;
+    fn ended(&mut self, ended: AttemptEnd) {
+        let AttemptEnd { id, attempt, mut outcome, used, units, answer, error } = ended;
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(one) = open.tries.get_mut(attempt as usize).filter(|t| t.out) else { return };
         one.out = false;
@@ -310,14 +310,14 @@
         let to = self.peers.get(&server).cloned();
         let again = open.tries.iter().any(|t| t.server == server);
         let sent = to.as_ref().is_some_and(|to| {
-            let (passage, carried) = (open.passage.clone(), Carried::one_more(&self.gate.carried));
+            let (passage, carried) = (open.passage.clone(), InPoolGuard::new(&self.shared.attempts_in_pools));
             to.send(Job { id, attempt, passage, again, until, note: carried })
         });
         open.tries.push(Try { server, to, sent_at: self.now, out: true });
         self.counts.sent += 1;
         self.timeouts.add(until, id, attempt);
         if !sent {
-            self.back.push_back(Ended::bare(id, attempt, Outcome::ConnectFailed));
+            self.back.push_back(AttemptEnd::without_answer(id, attempt, Outcome::ConnectFailed));
         }
     }
 
@@ -335,7 +335,7 @@
             let late = (outcome == Outcome::TimedOut).then_some(one.sent_at);
             to.give_up(id, attempt, late);
         }
-        self.back.push_back(Ended::bare(id, attempt, outcome));
+        self.back.push_back(AttemptEnd::without_answer(id, attempt, outcome));
     }
 
     /// All that is due by now.
@@ -427,14 +427,14 @@
                 _ => {}
             }
         }
-        let (configured, listed) = (&self.gate.config.zones, self.list.values().map(|l| l.zone));
+        let (configured, listed) = (&self.shared.config.zones, self.list.values().map(|l| l.zone));
         let listed: HashSet<u32> = listed.collect();
         self.zones.retain(|name, zone| listed.contains(zone) || configured.contains(name));
         let up = self.list.values().filter(|l| l.state == State::Up).count();
-        slog::info!(self.gate.log, "list of servers"; "kind" => ?kind, "version" => members.version,
+        slog::info!(self.shared.log, "list of servers"; "kind" => ?kind, "version" => members.version,
             "changed" => entries.len(), "up" => up, "known" => self.list.len());
         self.decide(Event::List { kind, entries });
-        self.gate.ready.store(true, Ordering::Relaxed);
+        self.shared.ready.store(true, Ordering::Relaxed);
     }
 
     // ---- trouble and report ----
@@ -443,7 +443,7 @@
     /// again from the list, as after a restart.
     fn start_again(&mut self) {
         self.lives += 1;
-        slog::crit!(self.gate.log, "the module panicked and starts again"; "open" => self.open.len());
+        slog::crit!(self.shared.log, "the module panicked and starts again"; "open" => self.open.len());
         self.names.clear();
         for (id, mut open) in std::mem::take(&mut self.open) {
             open.answer(Answer::text(502, ""));
@@ -456,10 +456,10 @@
         self.timeouts.clear();
         self.back.clear();
         self.timer = None;
-        let seed = self.gate.config.seed.wrapping_add(self.lives);
-        match Decider::new(self.gate.config.settings.clone(), seed) {
+        let seed = self.shared.config.seed.wrapping_add(self.lives);
+        match Decider::new(self.shared.config.settings.clone(), seed) {
             Ok(decider) => self.decider = decider,
-            Err(e) => return slog::crit!(self.gate.log, "cannot start again"; "error" => %e),
+            Err(e) => return slog::crit!(self.shared.log, "cannot start again"; "error" => %e),
         }
         let mut entries: Vec<Entry> = self.list.values().copied().collect();
         entries.sort_unstable_by_key(|e| e.server);
@@ -478,25 +478,25 @@
             return;
         }
         self.shown_at = self.now;
-        let shown = &self.gate.shown;
+        let shown = &self.shared.published;
         shown.set_target(self.decider.target());
-        shown.out.store(self.out(), Ordering::Relaxed);
-        shown.open.store(self.open.len(), Ordering::Relaxed);
+        shown.in_flight.store(self.out(), Ordering::Relaxed);
+        shown.open_requests.store(self.open.len(), Ordering::Relaxed);
     }
 
     fn report(&mut self) {
         let c = std::mem::take(&mut self.counts);
         if c.asked > 0 {
             let error = self.error.take().map_or_else(|| "none".to_string(), |e| e.to_string());
-            slog::info!(self.gate.log, "last 10 s";
+            slog::info!(self.shared.log, "last 10 s";
                 "asked" => c.asked, "served" => c.served, "refused" => c.refused, "failed" => c.failed,
-                "rejected" => c.rejected, "no_room" => self.gate.room.no_room.swap(0, Ordering::Relaxed), "withdrawn" => c.withdrawn, "sent" => c.sent,
+                "rejected" => c.rejected, "no_room" => self.shared.room.no_room.swap(0, Ordering::Relaxed), "withdrawn" => c.withdrawn, "sent" => c.sent,
                 "ok,error,full,timeout,connect,reset,cancelled,moot,rejected" => ?c.outcomes, "open" => self.open.len(),
                 "out" => self.out(),
-                "carried" => self.gate.carried.load(Ordering::Relaxed),
+                "carried" => self.shared.attempts_in_pools.load(Ordering::Relaxed),
                 "target" => format!("{:.1}", self.decider.target()), "batches" => c.batches, "events" => c.events,
-                "timer_late_us" => c.latest_us, "client_conns" => self.gate.room.fds.open(Side::Clients),
-                "server_conns" => self.gate.room.fds.open(Side::Servers), "last_error" => error);
+                "timer_late_us" => c.latest_us, "client_conns" => self.shared.room.fds.open(Side::Clients),
+                "server_conns" => self.shared.room.fds.open(Side::Servers), "last_error" => error);
         }
         self.report_at = self.now + REPORT_US;
     }
@@ -505,24 +505,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::gate::tests::gate;
+    use crate::shared::tests::shared;
     use net::limits::Held;
     use std::sync::mpsc::{Sender, channel};
 
-    fn module() -> Module {
-        let gate = gate();
-        let decider = Decider::new(gate.config.settings.clone(), 1).expect("good settings");
-        Module::new(gate, decider)
+    fn actor() -> DecisionActor {
+        let shared = shared();
+        let decider = Decider::new(shared.config.settings.clone(), 1).expect("good settings");
+        DecisionActor::new(shared, decider)
     }
 
-    fn ask(module: &mut Module, id: u64, client: &Sender<(u64, Answer)>) {
+    fn ask(actor: &mut DecisionActor, id: u64, client: &Sender<(u64, Answer)>) {
         let passage = Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: Held::default() };
-        let until = module.gate.room.clock.now() + 1_500_000;
+        let until = actor.shared.room.clock.now() + 1_500_000;
         let (units, spread, first, repeat) = (1.0, 1, 0, false);
         let client = client.clone();
         let client = Some(Reply::call(id, move |answer| client.send((id, answer)).expect("heard")));
         let name = id.to_string().into_bytes().into();
-        let asked = Asked {
+        let asked = ClientRequest {
             id,
             name,
             client,
@@ -537,22 +537,22 @@
             repeat,
             passage,
         };
-        module.now = module.gate.room.clock.now();
-        module.guard(|m| m.take(Told::Asked(Box::new(asked))));
+        actor.now = actor.shared.room.clock.now();
+        actor.guard(|m| m.take(DecisionMessage::Request(Box::new(asked))));
     }
 
     /// Whatever goes wrong inside, each request gets its one answer and the next ones are served.
     #[test]
     fn after_a_panic_all_that_was_held_is_answered_and_it_goes_on() {
-        let mut module = module();
-        let known = module.gate.config.known.clone();
-        module.members(&known, ListKind::Saved);
+        let mut actor = actor();
+        let known = actor.shared.config.known.clone();
+        actor.members(&known, ListKind::Saved);
         let (client, answers) = channel();
-        ask(&mut module, 1, &client);
-        ask(&mut module, 2, &client);
-        assert_eq!(module.open.len(), 2);
+        ask(&mut actor, 1, &client);
+        ask(&mut actor, 2, &client);
+        assert_eq!(actor.open.len(), 2);
         assert!(answers.try_recv().is_err(), "both are on their way");
-        module.guard(|_| panic!("as a fault would"));
+        actor.guard(|_| panic!("as a fault would"));
         let mut answered = Vec::new();
         while let Ok((id, answer)) = answers.try_recv() {
             assert_eq!(answer.status, 502);
@@ -560,14 +560,14 @@
         }
         answered.sort_unstable();
         assert_eq!(answered, [1, 2]);
-        assert!(module.open.is_empty());
-        ask(&mut module, 3, &client);
-        assert_eq!(module.open[&3].tries.len(), 1, "sent on: the list is still known");
+        assert!(actor.open.is_empty());
+        ask(&mut actor, 3, &client);
+        assert_eq!(actor.open[&3].tries.len(), 1, "sent on: the list is still known");
         // What comes late of the attempts before is passed over.
         let (outcome, used, units, error) = (Outcome::Ok, None, None, None);
         let answer = Some(Answer::text(200, ""));
-        let late = Ended { id: 1, attempt: 0, outcome, used, units, answer, error };
-        module.guard(|m| m.take(Told::Ended(late)));
+        let late = AttemptEnd { id: 1, attempt: 0, outcome, used, units, answer, error };
+        actor.guard(|m| m.take(DecisionMessage::AttemptEnded(late)));
         assert!(answers.try_recv().is_err());
     }
 
@@ -575,7 +575,7 @@
     /// given a number unlike its earlier one.
     #[test]
     fn zones_of_servers_gone_are_forgotten() {
-        let mut module = module();
+        let mut actor = actor();
         let member = |zone: &str| curlewfront_config::Member {
             id: format!("s-{zone}"),
             addr: Some("127.0.0.1:9".parse().expect("an address")),
@@ -588,9 +588,9 @@
         let mut first = None;
         for n in 0..200 {
             let servers = vec![member("a"), member(&format!("z{}", n % 50))];
-            module.members(&Members { version: n, full: true, servers }, ListKind::Full);
-            assert!(module.zones.len() <= 3, "{} zones known", module.zones.len());
-            let number = module.list[&format!("s-z{}", n % 50)].zone;
+            actor.members(&Members { version: n, full: true, servers }, ListKind::Full);
+            assert!(actor.zones.len() <= 3, "{} zones known", actor.zones.len());
+            let number = actor.list[&format!("s-z{}", n % 50)].zone;
             if n == 0 {
                 first = Some(number);
             } else if n == 50 {
@@ -601,21 +601,29 @@
 
     #[test]
     fn an_attempt_has_one_outcome_and_a_request_one_answer() {
-        let mut module = module();
-        let known = module.gate.config.known.clone();
-        module.members(&known, ListKind::Saved);
+        let mut actor = actor();
+        let known = actor.shared.config.known.clone();
+        actor.members(&known, ListKind::Saved);
         let (client, answers) = channel();
-        ask(&mut module, 1, &client);
+        ask(&mut actor, 1, &client);
         let served = || {
             let (outcome, used, units, error) = (Outcome::Ok, None, None, None);
             let answer = Some(Answer::text(200, "1"));
-            Told::Ended(Ended { id: 1, attempt: 0, outcome, used, units, answer, error })
+            DecisionMessage::AttemptEnded(AttemptEnd {
+                id: 1,
+                attempt: 0,
+                outcome,
+                used,
+                units,
+                answer,
+                error,
+            })
         };
-        module.guard(|m| m.take(served()));
-        module.guard(|m| m.take(served()));
-        module.guard(|m| m.take(Told::Withdrawn { id: 1 }));
+        actor.guard(|m| m.take(served()));
+        actor.guard(|m| m.take(served()));
+        actor.guard(|m| m.take(DecisionMessage::Withdrawn { id: 1 }));
         assert!(matches!(answers.try_recv(), Ok((1, Answer { status: 200, .. }))));
         assert!(answers.try_recv().is_err());
-        assert!(module.open.is_empty());
+        assert!(actor.open.is_empty());
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -4,8 +4,8 @@
 
 use crate::backoff::Backoff;
 use crate::clients::BOUNDS;
-use crate::gate::Gate;
-use crate::messages::Told;
+use crate::messages::DecisionMessage;
+use crate::shared::Shared;
 use curlewfront::Micros;
 use curlewfront_config::Members;
 use net::clock::Alarm;
@@ -28,30 +28,30 @@
 /// The longest line: a list of many thousand servers.
 const MOST_LINE: usize = 4 * 1024 * 1024;
 
-pub fn start(gate: Arc<Gate>, mut pause: Alarm) -> io::Result<()> {
-    let settings = &gate.config.settings;
-    let mut backoff = Backoff::new(settings.balancers, !settings.ask_for_list, gate.config.seed);
+pub fn start(shared: Arc<Shared>, mut pause: Alarm) -> io::Result<()> {
+    let settings = &shared.config.settings;
+    let mut backoff = Backoff::new(settings.balancers, !settings.ask_for_list, shared.config.seed);
     let work = move || {
-        let (mut host, mut version) = (gate.config.discovery, gate.config.known.version);
+        let (mut host, mut version) = (shared.config.discovery, shared.config.known.version);
         // The first call at once: the list saved here may name servers long gone, and whatever the agent holds of that
         // counts as told from the start.
         let mut wait = 0;
         loop {
-            gate.list.rehang(pause.bell());
-            pause.sleep_while(wait, || gate.list.is_empty());
-            if let Some(moved) = std::iter::from_fn(|| gate.list.pop()).last() {
+            shared.discovery.rehang(pause.bell());
+            pause.sleep_while(wait, || shared.discovery.is_empty());
+            if let Some(moved) = std::iter::from_fn(|| shared.discovery.pop()).last() {
                 // Another discovery may count its versions anew: all is asked for again, the list stays meanwhile.
                 (host, version) = (moved, 0);
                 backoff.reset();
             }
             let before = version;
-            let (mut beats, called_at) = (0, gate.room.clock.now());
-            let why = watch(&gate, host, &mut version, &mut beats).err();
+            let (mut beats, called_at) = (0, shared.room.clock.now());
+            let why = watch(&shared, host, &mut version, &mut beats).err();
             let why = why.map_or_else(|| "ended".to_string(), |e| e.to_string());
-            slog::warn!(gate.log, "watch of the list ended"; "why" => why, "at" => %host, "version" => version,
+            slog::warn!(shared.log, "watch of the list ended"; "why" => why, "at" => %host, "version" => version,
                 "lines" => beats);
             // One that lasted no longer than a call may wait for its answer was turned away, whatever came before.
-            let served = version != before || gate.room.clock.now() >= called_at + ANSWER_US;
+            let served = version != before || shared.room.clock.now() >= called_at + ANSWER_US;
             wait = if served { backoff.after_watch_end() } else { backoff.after_failure() };
         }
     };
@@ -68,10 +68,10 @@
 }
 
 /// One watch, up to its end.
-fn watch(gate: &Arc<Gate>, host: SocketAddr, version: &mut u64, beats: &mut u64) -> io::Result<()> {
+fn watch(shared: &Arc<Shared>, host: SocketAddr, version: &mut u64, beats: &mut u64) -> io::Result<()> {
     let io = connect(host, None)?;
-    gate.list.rehang(io.bell());
-    let mut patience = Patience { gate, io: &io, until: gate.room.clock.now() + CONNECT_US, armed: None };
+    shared.discovery.rehang(io.bell());
+    let mut patience = Patience { shared, io: &io, until: shared.room.clock.now() + CONNECT_US, armed: None };
     let mut seen = 0;
     while seen & events::WRITABLE == 0 {
         if let Some(e) = io.inner().take_error()? {
@@ -80,7 +80,7 @@
         patience.check("connection never came up")?;
         seen = io.wait();
     }
-    patience.until = gate.room.clock.now() + ANSWER_US;
+    patience.until = shared.room.clock.now() + ANSWER_US;
     let ask = format!("GET /catalog/members?watch=1&after={version} HTTP/1.1\r\nHost: {host}\r\n\r\n");
     let (mut incoming, mut outgoing) = (Ring::default(), Outgoing::default());
     outgoing.push(ask.as_bytes());
@@ -92,9 +92,9 @@
             match incoming.fill(BOUNDS.held(), |room| socket.read(room)) {
                 Ok(Some(filled)) if filled.bytes == 0 => return Ok(()),
                 Ok(_) => {
-                    digest(gate, &mut incoming, &mut body, &mut line, version, beats)?;
+                    digest(shared, &mut incoming, &mut body, &mut line, version, beats)?;
                     if body.is_some() {
-                        patience.until = gate.room.clock.now() + SILENCE_US;
+                        patience.until = shared.room.clock.now() + SILENCE_US;
                     }
                     if body.as_ref().is_some_and(Body::done) {
                         return Ok(());
@@ -112,7 +112,7 @@
 
 /// Ends a wait that has lasted too long, or for a discovery that is the right one no more.
 struct Patience<'a> {
-    gate: &'a Gate,
+    shared: &'a Shared,
     io: &'a Watched<TcpStream>,
     until: Micros,
     /// When the bell will be rung next.
@@ -121,8 +121,8 @@
 
 impl Patience<'_> {
     fn check(&mut self, what: &str) -> io::Result<()> {
-        let now = self.gate.room.clock.now();
-        if !self.gate.list.is_empty() {
+        let now = self.shared.room.clock.now();
+        if !self.shared.discovery.is_empty() {
             return Err(io::Error::other("moved"));
         }
         if now >= self.until {
@@ -132,14 +132,14 @@
             let at = self.until + 1000;
             self.armed = Some(at);
             let bell = self.io.bell();
-            self.gate.room.alarms.after(at - now, move || bell.ring());
+            self.shared.room.alarms.after(at - now, move || bell.ring());
         }
         Ok(())
     }
 }
 
 fn digest(
-    gate: &Gate,
+    shared: &Shared,
     incoming: &mut Ring,
     body: &mut Option<Body>,
     line: &mut Vec<u8>,
@@ -171,7 +171,7 @@
             }
             if part.ends_with(b"\n") {
                 *beats += 1;
-                tell(gate, line, version)?;
+                tell(shared, line, version)?;
                 line.clear();
             }
         }
@@ -182,7 +182,7 @@
     Ok(())
 }
 
-fn tell(gate: &Gate, line: &[u8], version: &mut u64) -> io::Result<()> {
+fn tell(shared: &Shared, line: &[u8], version: &mut u64) -> io::Result<()> {
     let text = line.trim_ascii();
     if text.is_empty() {
         return Ok(());
@@ -190,6 +190,6 @@
     let value = serde_json::from_slice(text).map_err(malformed)?;
     let members = Members::read(&value).map_err(malformed)?;
     *version = members.version;
-    gate.module.post(Told::Members(members));
+    shared.decisions.post(DecisionMessage::ServerList(members));
     Ok(())
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -3,21 +3,21 @@
 
 mod backoff;
 mod clients;
+mod decisions;
 mod discovery;
-mod gate;
 mod log;
 mod messages;
-mod module;
 mod request;
 mod servers;
+mod shared;
 mod signals;
 
 use curlewfront::Decider;
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
-use gate::Gate;
 use net::clock::{Alarm, Alarms, Clock};
 use net::door::Door;
+use shared::Shared;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::process::ExitCode;
@@ -75,18 +75,18 @@
     let alarms = Alarms::start(clock).map_err(|e| cannot("set up timers", e))?;
     let alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
     let pause = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
-    let mut gate = Gate::new(config, clock, alarms, log, alarm.bell(), pause.bell());
-    gate.fleet.clone_from(&fleet);
-    let gate = Arc::new(gate);
-    let listen = gate.config.listen;
-    let front = Arc::new(clients::Front(gate.clone()));
-    let clients = Door::start(listen, gate.room.clone(), front)
+    let mut shared = Shared::new(config, clock, alarms, log, alarm.bell(), pause.bell());
+    shared.fleet.clone_from(&fleet);
+    let shared = Arc::new(shared);
+    let listen = shared.config.listen;
+    let front = Arc::new(clients::ClientHandler(shared.clone()));
+    let clients = Door::start(listen, shared.room.clone(), front)
         .map_err(|e| cannot(&format!("listen on {listen}"), e))?;
     let (over, ended) = std::sync::mpsc::channel();
-    signals::start(gate.clone(), clients, signals, over).map_err(|e| cannot("watch for signals", e))?;
-    module::start(gate.clone(), decider, alarm);
-    discovery::start(gate.clone(), pause).map_err(|e| cannot("watch discovery", e))?;
-    slog::info!(gate.log, "serving"; "listen" => %listen, "servers" => gate.config.known.servers.len(),
-        "sockets" => gate.config.sockets, "memory_mb" => gate.config.memory_mb);
+    signals::start(shared.clone(), clients, signals, over).map_err(|e| cannot("watch for signals", e))?;
+    decisions::start(shared.clone(), decider, alarm);
+    discovery::start(shared.clone(), pause).map_err(|e| cannot("watch discovery", e))?;
+    slog::info!(shared.log, "serving"; "listen" => %listen, "servers" => shared.config.known.servers.len(),
+        "sockets" => shared.config.sockets, "memory_mb" => shared.config.memory_mb);
     Ok((ended, fleet))
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,5 +1,6 @@
-//! What the actors tell each other. One file that all share: an actor's file needs those of the actors it starts, never
-//! the files of those that it only sends to, so the files stand in a line and not in a circle.
+//! The messages between actors. They have a file of their own so that the files of actors depend on each other in one
+//! direction only: an actor's file imports the files of the actors that it starts, and none of the files of actors
+//! that it merely sends messages to.
 
 use curlewfront::{Micros, Outcome};
 use curlewfront_config::Members;
@@ -9,22 +10,24 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What the module's actor is told.
-pub enum Told {
-    Asked(Box<Asked>),
+/// A message to the decision actor.
+pub enum DecisionMessage {
+    Request(Box<ClientRequest>),
+    /// The client has gone before its answer.
     Withdrawn {
         id: u64,
     },
-    Ended(Ended),
-    Members(Members),
-    /// No descriptor is left: idle connections to servers are to give way.
-    Crowded,
+    AttemptEnded(AttemptEnd),
+    ServerList(Members),
+    /// No descriptor is left: idle connections to servers must be closed.
+    DescriptorsExhausted,
 }
 
-/// A client's request, whole and well formed.
-pub struct Asked {
+/// A client's complete and well-formed request.
+pub struct ClientRequest {
+    /// Number of the request within this gateway.
     pub id: u64,
-    /// What its client calls it.
+    /// The client's own name for the request (`Request-Id`).
     pub name: Arc<[u8]>,
     pub client: Option<Reply>,
     pub class: usize,
@@ -33,7 +36,7 @@
     /// When the client stops waiting.
     pub until: Micros,
     pub units: f64,
-    /// More than this no request of its plan can draw.
+    /// The most units that a request of this plan can use.
     pub most_units: f64,
     pub spread: u32,
     pub first: u32,
@@ -41,35 +44,37 @@
     pub passage: Passage,
 }
 
-/// What became of an attempt.
-pub struct Ended {
+/// How an attempt ended.
+pub struct AttemptEnd {
+    /// The request.
     pub id: u64,
     pub attempt: u32,
     pub outcome: Outcome,
+    /// The customer's use by all gateways, as a fraction of its quota, if the server reported it.
     pub used: Option<f64>,
+    /// The units that the request really used, if the server reported them.
     pub units: Option<f64>,
     pub answer: Option<Answer>,
     pub error: Option<AttemptError>,
 }
 
-impl Ended {
-    /// An outcome that no answer came with.
-    pub fn bare(id: u64, attempt: u32, outcome: Outcome) -> Ended {
-        Ended { id, attempt, outcome, used: None, units: None, answer: None, error: None }
+impl AttemptEnd {
+    pub fn without_answer(id: u64, attempt: u32, outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { id, attempt, outcome, used: None, units: None, answer: None, error: None }
     }
 }
 
-/// Counts the attempts that are on connections or on their way to one, as long as it lives with its attempt.
-pub struct Carried(Arc<AtomicUsize>);
+/// Counts one attempt as being on a server connection or queued for one, until it is dropped with the attempt.
+pub struct InPoolGuard(Arc<AtomicUsize>);
 
-impl Carried {
-    pub fn one_more(count: &Arc<AtomicUsize>) -> Carried {
+impl InPoolGuard {
+    pub fn new(count: &Arc<AtomicUsize>) -> InPoolGuard {
         count.fetch_add(1, Ordering::Relaxed);
-        Carried(count.clone())
+        InPoolGuard(count.clone())
     }
 }
 
-impl Drop for Carried {
+impl Drop for InPoolGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,7 +1,7 @@
 //! The headers that a client's request must carry.
 
-use crate::gate::Gate;
-use crate::messages::Asked;
+use crate::messages::ClientRequest;
+use crate::shared::Shared;
 use curlewfront::{Micros, Plan};
 use net::http::{self, Bad};
 use net::limits::Held;
@@ -9,7 +9,7 @@
 
 /// Reads the headers that a request must carry. `until` is the time allowed, yet to be counted from the
 /// request's last byte.
-pub fn read(gate: &Gate, head: &http::Request) -> Result<Asked, Bad> {
+pub fn read(shared: &Shared, head: &http::Request) -> Result<ClientRequest, Bad> {
     let bad = |what| Bad { status: 400, what };
     if !matches!(head.method, "GET" | "POST" | "PUT" | "PATCH" | "DELETE") {
         return Err(Bad { status: 405, what: "method not served" });
@@ -23,16 +23,16 @@
     let named = |names: &[String], name: &str| text(name).and_then(|v| names.iter().position(|n| n == v));
     let name = text("Request-Id").filter(|id| !id.is_empty()).ok_or(bad("no Request-Id"))?;
     let name = name.as_bytes().into();
-    let class = named(&gate.config.classes, "Request-Class").ok_or(bad("unknown Request-Class"))?;
-    let plan = named(&gate.config.plans, "X-Contract").ok_or(bad("unknown X-Contract"))?;
+    let class = named(&shared.config.classes, "Request-Class").ok_or(bad("unknown Request-Class"))?;
+    let plan = named(&shared.config.plans, "X-Contract").ok_or(bad("unknown X-Contract"))?;
     let customer = text("X-Client-Id").and_then(hex).ok_or(bad("malformed X-Client-Id"))?;
     if customer >= CUSTOMERS {
         return Err(bad("X-Client-Id out of range"));
     }
     let until = text("Request-Timeout").and_then(span).ok_or(bad("malformed Request-Timeout"))?;
     let (units, spread, first) = text("X-Metering").and_then(metering).ok_or(bad("malformed X-Metering"))?;
-    let most_units = most_units(&gate.config.settings.plans[plan]);
-    let gateways = gate.config.settings.balancers;
+    let most_units = most_units(&shared.config.settings.plans[plan]);
+    let gateways = shared.config.settings.balancers;
     // Also under a usual customer's name: such units would empty its quota, such a set move its shares.
     let in_set = (1..=gateways).contains(&spread) && first < gateways;
     if !(units > 0.0 && units <= most_units && in_set) {
@@ -45,7 +45,7 @@
     }
     http::pass_on(head.headers, &["Request-Timeout"], &mut line);
     let passage = Passage { head: line, body: Held::default() };
-    Ok(Asked {
+    Ok(ClientRequest {
         id: 0,
         name,
         client: None,
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,8 +1,8 @@
 //! What the gateway speaks with its servers, and what their answers mean to the decisions.
 
 use crate::clients::BOUNDS;
-use crate::gate::Gate;
-use crate::messages::{self, Carried, Told};
+use crate::messages::{AttemptEnd, DecisionMessage, InPoolGuard};
+use crate::shared::Shared;
 use curlewfront::Outcome;
 use net::Micros;
 use net::door::Answer;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub struct Back(pub Arc<Gate>);
+pub struct ServerHandler(pub Arc<Shared>);
 
 /// Read out of the head of an answer.
 pub struct Said {
@@ -22,7 +22,7 @@
     head: Vec<u8>,
 }
 
-pub fn start(addr: SocketAddr, back: &Arc<Back>) -> Peer<Back> {
+pub fn start(addr: SocketAddr, back: &Arc<ServerHandler>) -> Peer<ServerHandler> {
     let config = &back.0.config;
     let settings = Settings {
         dial_us: config.dial_timeout_us,
@@ -47,15 +47,15 @@
     http::decimal(text.trim()).filter(|n| *n <= MOST_FIGURE)
 }
 
-impl Wire for Back {
-    type Note = Carried;
+impl Wire for ServerHandler {
+    type Note = InPoolGuard;
     type Said = Said;
 
-    fn last_lines(&self, _: &Job<Carried>, left_us: Micros, out: &mut Vec<u8>) {
+    fn last_lines(&self, _: &Job<InPoolGuard>, left_us: Micros, out: &mut Vec<u8>) {
         out.extend_from_slice(format!("Request-Timeout: {left_us}u\r\n").as_bytes());
     }
 
-    fn heard(&self, _: &Job<Carried>, head: &http::Response) -> Heard<Said> {
+    fn heard(&self, _: &Job<InPoolGuard>, head: &http::Response) -> Heard<Said> {
         let text = |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok());
         let number = |name| text(name).and_then(figure);
         let mut pass = Vec::new();
@@ -70,7 +70,7 @@
         })
     }
 
-    fn ended(&self, ended: Ended<Back>) {
+    fn ended(&self, ended: Ended<ServerHandler>) {
         let (id, attempt) = (ended.id, ended.attempt);
         let told = match ended.outcome {
             Ok(served) => {
@@ -87,17 +87,17 @@
                     _ => None,
                 };
                 let (used, units) = (served.said.used, served.said.units);
-                messages::Ended { id, attempt, outcome, used, units, answer, error: None }
+                AttemptEnd { id, attempt, outcome, used, units, answer, error: None }
             }
             Err(error) => {
                 let outcome = if error.never_ran() { Outcome::ConnectFailed } else { Outcome::Reset };
-                messages::Ended { error: Some(error), ..messages::Ended::bare(id, attempt, outcome) }
+                AttemptEnd { error: Some(error), ..AttemptEnd::without_answer(id, attempt, outcome) }
             }
         };
-        self.0.module.post(Told::Ended(told));
+        self.0.decisions.post(DecisionMessage::AttemptEnded(told));
     }
 
     fn crowded(&self) {
-        self.0.module.post(Told::Crowded);
+        self.0.decisions.post(DecisionMessage::DescriptorsExhausted);
     }
 }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,6 +1,6 @@
-//! What all actors of one gateway share.
+//! State shared by all actors of one gateway.
 
-use crate::messages::Told;
+use crate::messages::DecisionMessage;
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
 use net::clock::{Alarms, Clock};
@@ -12,36 +12,38 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 
-pub struct Gate {
+pub struct Shared {
     pub config: Config,
     pub room: Arc<Room>,
     pub log: Logger,
-    pub module: Arc<Mailbox<Told>>,
-    /// The list's actor: where discovery is from now on.
-    pub list: Arc<Mailbox<SocketAddr>>,
-    /// Attempts on connections to servers or on their way there, to be held against what the module has out.
-    pub carried: Arc<AtomicUsize>,
-    /// The module has its list of servers.
+    /// Mailbox of the decision actor.
+    pub decisions: Arc<Mailbox<DecisionMessage>>,
+    /// Mailbox of the discovery actor: the address at which to watch discovery from now on.
+    pub discovery: Arc<Mailbox<SocketAddr>>,
+    /// Attempts on server connections or queued for one; `/_stats` shows it beside the attempts that the decision
+    /// actor counts as in flight.
+    pub attempts_in_pools: Arc<AtomicUsize>,
+    /// The decision actor has a list of servers.
     pub ready: AtomicBool,
-    /// SIGTERM has come.
+    /// SIGTERM or SIGINT has been received.
     pub draining: AtomicBool,
-    /// What the module last said of itself, for `/_stats`.
-    pub shown: Shown,
-    /// This gateway's part in the fleet group; none where the configuration has no `fleet`.
+    /// What the decision actor last published for `/_stats`.
+    pub published: PublishedStats,
+    /// This gateway's member of the fleet group; `None` if the configuration has no `fleet`.
     pub fleet: Option<Arc<Handle>>,
 }
 
-/// The module's state as `/_stats` tells it: written by the module's actor after each batch, read by connections.
+/// The decision actor's figures for `/_stats`: written by that actor after its batches, read by client connections.
 #[derive(Default)]
-pub struct Shown {
+pub struct PublishedStats {
     /// The target concurrency, as the bits of an `f64`.
     target: AtomicU64,
-    /// Attempts that the decisions hold to be out, and requests open.
-    pub out: AtomicUsize,
-    pub open: AtomicUsize,
+    /// Attempts that the decisions count as in flight.
+    pub in_flight: AtomicUsize,
+    pub open_requests: AtomicUsize,
 }
 
-impl Shown {
+impl PublishedStats {
     pub fn set_target(&self, target: f64) {
         self.target.store(target.to_bits(), Ordering::Relaxed);
     }
@@ -51,32 +53,39 @@
     }
 }
 
-impl Gate {
-    /// `module` and `list` wake the actors of these names.
-    pub fn new(config: Config, clock: Clock, alarms: Alarms, log: Logger, module: Bell, list: Bell) -> Gate {
+impl Shared {
+    /// `decisions` and `discovery` wake the actors of these names.
+    pub fn new(
+        config: Config,
+        clock: Clock,
+        alarms: Alarms,
+        log: Logger,
+        decisions: Bell,
+        discovery: Bell,
+    ) -> Shared {
         let warnings = log.clone();
-        let warn = Box::new(move |what: std::fmt::Arguments| slog::warn!(warnings, "{what}"));
-        Gate {
+        let warn = Box::new(move |message: std::fmt::Arguments| slog::warn!(warnings, "{message}"));
+        Shared {
             room: Arc::new(Room::new(config.sockets, config.memory_mb, clock, alarms, warn)),
-            carried: Arc::default(),
-            module: Arc::new(Mailbox::new(module)),
-            list: Arc::new(Mailbox::new(list)),
+            attempts_in_pools: Arc::default(),
+            decisions: Arc::new(Mailbox::new(decisions)),
+            discovery: Arc::new(Mailbox::new(discovery)),
             config,
             log,
             ready: AtomicBool::new(false),
             draining: AtomicBool::new(false),
-            shown: Shown::default(),
+            published: PublishedStats::default(),
             fleet: None,
         }
     }
 
-    /// What `/_stats` answers.
+    /// The answer to `/_stats`.
     pub fn stats(&self) -> serde_json::Value {
         let mut stats = serde_json::json!({
-            "target": (self.shown.target() * 1000.0).round() / 1000.0,
-            "out": self.shown.out.load(Ordering::Relaxed),
-            "open": self.shown.open.load(Ordering::Relaxed),
-            "carried": self.carried.load(Ordering::Relaxed),
+            "target": (self.published.target() * 1000.0).round() / 1000.0,
+            "out": self.published.in_flight.load(Ordering::Relaxed),
+            "open": self.published.open_requests.load(Ordering::Relaxed),
+            "carried": self.attempts_in_pools.load(Ordering::Relaxed),
             "client_conns": self.room.fds.open(Side::Clients),
             "server_conns": self.room.fds.open(Side::Servers),
         });
@@ -105,12 +114,12 @@
 "settings":{"balancers":1,"classes":[{"name":"v","aimUs":1000000,"deadlineUs":2000000,"effect":"repeatable"}],
 "tiersOfService":[{"name":"t","unitsPerS":100.0,"depth":100.0}],"permissions":{"attemptsCap":2,"mayCancel":true}}}"#;
 
-    pub fn gate() -> Arc<Gate> {
-        let config = curlewfront_config::Config::read(CONFIG, |_| None).expect("it is good");
+    pub fn shared() -> Arc<Shared> {
+        let config = curlewfront_config::Config::read(CONFIG, |_| None).expect("a valid configuration");
         let clock = Clock::start();
         let alarm = Alarm::new(clock).expect("a timer");
         let alarms = Alarms::start(clock).expect("a timer");
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        Arc::new(Gate::new(config, clock, alarms, log, alarm.bell(), alarm.bell()))
+        Arc::new(Shared::new(config, clock, alarms, log, alarm.bell(), alarm.bell()))
     }
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -2,8 +2,8 @@
 //! SIGTERM: the gateway serves on, closes each client's connection after its answer, and ends once all is answered
 //! and no new connections can come any more.
 
-use crate::clients::Front;
-use crate::gate::Gate;
+use crate::clients::ClientHandler;
+use crate::shared::Shared;
 use curlewfront::Micros;
 use curlewfront_config::Config;
 use net::clock::Alarm;
@@ -20,22 +20,22 @@
 const LOOK_EVERY_US: Micros = 50_000;
 
 pub fn start(
-    gate: Arc<Gate>,
-    clients: Arc<Door<Front>>,
+    shared: Arc<Shared>,
+    clients: Arc<Door<ClientHandler>>,
     mut signals: Signals,
     over: Sender<()>,
 ) -> io::Result<()> {
-    let mut end = Some((Alarm::new(gate.room.clock)?, clients, over));
+    let mut end = Some((Alarm::new(shared.room.clock)?, clients, over));
     // A thread of its own: it waits for signals and reads a file, which must not hold up the coroutines.
     std::thread::Builder::new().name("signals".into()).spawn(move || {
-        let mut discovery = gate.config.discovery;
+        let mut discovery = shared.config.discovery;
         for signal in signals.forever() {
             if signal == SIGHUP {
-                reload(&gate, &mut discovery);
+                reload(&shared, &mut discovery);
             } else if let Some((alarm, clients, over)) = end.take() {
-                gate.draining.store(true, Ordering::Relaxed);
-                let gate = gate.clone();
-                may::go!(move || drain(&gate, alarm, &clients, &over));
+                shared.draining.store(true, Ordering::Relaxed);
+                let shared = shared.clone();
+                may::go!(move || drain(&shared, alarm, &clients, &over));
             }
         }
     })?;
@@ -43,35 +43,35 @@
 }
 
 /// A file that is no good changes nothing: the gateway goes on with what it has, while draining too.
-fn reload(gate: &Gate, discovery: &mut std::net::SocketAddr) {
+fn reload(shared: &Shared, discovery: &mut std::net::SocketAddr) {
     let read = Config::reload(|name| std::env::var(name).ok());
     let config = match read {
         Ok(config) => config,
         Err(why) => {
-            return slog::error!(gate.log, "new configuration refused, the old one stays"; "why" => why);
+            return slog::error!(shared.log, "new configuration refused, the old one stays"; "why" => why);
         }
     };
-    let fixed = gate.config.fixed_that_differ(&config).join(", ");
+    let fixed = shared.config.fixed_that_differ(&config).join(", ");
     if !fixed.is_empty() {
-        slog::warn!(gate.log, "of the new configuration these take a new start"; "keys" => fixed);
+        slog::warn!(shared.log, "of the new configuration these take a new start"; "keys" => fixed);
     }
-    slog::info!(gate.log, "configuration read anew"; "discovery" => %config.discovery,
+    slog::info!(shared.log, "configuration read anew"; "discovery" => %config.discovery,
         "moved" => config.discovery != *discovery);
     if config.discovery != *discovery {
         *discovery = config.discovery;
-        gate.list.post(config.discovery);
+        shared.discovery.post(config.discovery);
     }
 }
 
-fn drain(gate: &Gate, mut alarm: Alarm, clients: &Door<Front>, over: &Sender<()>) {
-    let asked_at = gate.room.clock.now();
-    slog::info!(gate.log, "asked to end: serving what comes, closing connections");
+fn drain(shared: &Shared, mut alarm: Alarm, clients: &Door<ClientHandler>, over: &Sender<()>) {
+    let asked_at = shared.room.clock.now();
+    slog::info!(shared.log, "asked to end: serving what comes, closing connections");
     loop {
         alarm.sleep(LOOK_EVERY_US);
-        if gate.room.clock.now() >= asked_at + STILL_COMING_US && clients.busy() == 0 {
+        if shared.room.clock.now() >= asked_at + STILL_COMING_US && clients.busy() == 0 {
             break;
         }
     }
-    slog::info!(gate.log, "all answered");
+    slog::info!(shared.log, "all answered");
     let _ = over.send(());
 }
