--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,4 +1,4 @@
-//! The gateway before its clients: reads the headers that its requests carry, and hands them to the module.
+//! The gateway towards its clients: reads the headers of their requests and hands the requests to the decision actor.
 
 use crate::messages::{ClientRequest, DecisionMessage};
 use crate::request;
@@ -10,22 +10,26 @@
 use net::pool::Passage;
 use std::sync::Arc;
 
-/// Of a message, a client's or a server's.
+/// Size limits in bytes of a client's or a server's message.
 pub const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 64 * 1024 };
 
-/// Answered here: whether the list is known, and what the module last said of itself.
+/// Answered by the gateway itself: whether a list of servers is known.
 const HEALTH: &str = "/_health";
+/// Answered by the gateway itself: the figures that the decision actor last published.
 const STATS: &str = "/_stats";
 
-/// A client is owed an error or a close within 3 s.
+/// Time for the first request of a connection. A client is owed an error or a close within 3 s.
 const FIRST_US: Micros = 2_000_000;
+/// Time to send a request that has begun.
 const READ_US: Micros = 2_000_000;
 const WRITE_US: Micros = 5_000_000;
+/// Time that a connection may be idle after its only request so far.
 const ONCE_IDLE_US: Micros = 2_100_000;
+/// Time that a connection may be idle after several requests.
 const IDLE_US: Micros = 60_000_000;
 
-/// What a connection is told that is ended before it has brought a request.
-const UNHEARD: Bad = Bad { status: 503, what: "ended before a request came" };
+/// Sent on a connection that is closed before it has brought a request.
+const NO_REQUEST_YET: Bad = Bad { status: 503, what: "ended before a request came" };
 
 pub struct ClientHandler(pub Arc<Shared>);
 
@@ -49,10 +53,10 @@
     fn head(&self, head: &http::Request) -> Result<Heard<Box<ClientRequest>>, Bad> {
         let shared = &self.0;
         if head.target != HEALTH && head.target != STATS {
-            return request::read(shared, head).map(|asked| Heard::Take(Box::new(asked)));
+            return request::read(shared, head).map(|request| Heard::Take(Box::new(request)));
         }
         if head.framing != Framing::Length(0) {
-            return Err(Bad { status: 400, what: "a body where none belongs" });
+            return Err(Bad { status: 400, what: "unexpected body" });
         }
         Ok(Heard::Say(if head.target == STATS {
             Answer::text(200, format!("{}\n", shared.stats()))
@@ -63,13 +67,13 @@
         }))
     }
 
-    fn asked(&self, id: u64, mut asked: Box<ClientRequest>, body: Held, reply: Reply) {
-        // `until` holds the time allowed up to here; it counts from the last byte.
-        asked.until += self.0.room.clock.now();
-        asked.id = id;
-        asked.client = Some(reply);
-        asked.passage = Passage { head: std::mem::take(&mut asked.passage.head), body };
-        self.0.decisions.post(DecisionMessage::Request(asked));
+    fn asked(&self, id: u64, mut request: Box<ClientRequest>, body: Held, reply: Reply) {
+        // Up to here `until` is the time allowed, which counts from the last byte of the request.
+        request.until += self.0.room.clock.now();
+        request.id = id;
+        request.client = Some(reply);
+        request.passage = Passage { head: std::mem::take(&mut request.passage.head), body };
+        self.0.decisions.post(DecisionMessage::Request(request));
     }
 
     fn withdrawn(&self, id: u64) {
@@ -81,12 +85,12 @@
     }
 
     fn refusal(&self, bad: &Bad) -> Answer {
-        let line = if bad.what.is_empty() { "" } else { "\n" };
-        Answer::text(bad.status, format!("{}{line}", bad.what))
+        let line_end = if bad.what.is_empty() { "" } else { "\n" };
+        Answer::text(bad.status, format!("{}{line_end}", bad.what))
     }
 
     fn unheard(&self) -> Option<Bad> {
-        Some(UNHEARD)
+        Some(NO_REQUEST_YET)
     }
 
     fn crowded(&self) {
