--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,4 +1,4 @@
-//! What the gateway speaks with its servers, and what their answers mean to the decisions.
+//! The gateway towards its servers: what it adds to their requests, and how their answers map to outcomes.
 
 use crate::clients::BOUNDS;
 use crate::messages::{AttemptEnd, DecisionMessage, InPoolGuard};
@@ -13,76 +13,80 @@
 
 pub struct ServerHandler(pub Arc<Shared>);
 
-/// Read out of the head of an answer.
-pub struct Said {
+/// What is read from the head of an answer.
+pub struct AnswerHead {
+    /// The server says that it did not start on the request.
     never_ran: bool,
+    /// The customer's use by all gateways, as a fraction of its quota.
     used: Option<f64>,
+    /// The units that the request really used.
     units: Option<f64>,
-    /// Headers that are passed on.
-    head: Vec<u8>,
+    /// The header lines that are passed on to the client.
+    passed_on: Vec<u8>,
 }
 
-pub fn start(addr: SocketAddr, back: &Arc<ServerHandler>) -> Peer<ServerHandler> {
-    let config = &back.0.config;
+/// Starts the actor that owns the connections to one server.
+pub fn start(addr: SocketAddr, handler: &Arc<ServerHandler>) -> Peer<ServerHandler> {
+    let config = &handler.0.config;
     let settings = Settings {
         dial_us: config.dial_timeout_us,
-        // After that time a server counts as out of reach, whatever it has begun.
+        // A server that takes longer than this counts as unreachable, even if it has begun to answer.
         answer_us: config.dial_timeout_us,
-        // One that the server might close any moment is worth less than a new one: an attempt written to it would
-        // count as one that may have run.
+        // An old connection that the server might close at any moment is worth less than a new one: an attempt written
+        // to it would count as one that may have run.
         idle_us: config.conn_idle_us / 2,
         most: usize::MAX,
         silence: None,
         bounds: BOUNDS,
     };
-    Peer::start(addr, back.0.room.clone(), back.clone(), settings)
+    Peer::start(addr, handler.0.room.clone(), handler.clone(), settings)
 }
 
-/// The largest figure that is believed: a use of a hundred times the quota. A larger one is a mistake, as is one that
-/// is no number.
-const MOST_FIGURE: f64 = 1e4;
+/// The largest figure in an answer that is believed. For `X-Meter`, which is in percent, this is a use of a hundred
+/// times the quota; anything larger is taken for a mistake.
+const MAX_FIGURE: f64 = 1e4;
 
-/// A figure beside an answer: one that cannot be read is passed over, the answer holds all the same.
+/// Reads a figure from a header of an answer. One that cannot be read is ignored; the answer itself stays valid.
 fn figure(text: &str) -> Option<f64> {
-    http::decimal(text.trim()).filter(|n| *n <= MOST_FIGURE)
+    http::decimal(text.trim()).filter(|n| *n <= MAX_FIGURE)
 }
 
 impl Wire for ServerHandler {
     type Note = InPoolGuard;
-    type Said = Said;
+    type Said = AnswerHead;
 
     fn last_lines(&self, _: &Job<InPoolGuard>, left_us: Micros, out: &mut Vec<u8>) {
         out.extend_from_slice(format!("Request-Timeout: {left_us}u\r\n").as_bytes());
     }
 
-    fn heard(&self, _: &Job<InPoolGuard>, head: &http::Response) -> Heard<Said> {
+    fn heard(&self, _: &Job<InPoolGuard>, head: &http::Response) -> Heard<AnswerHead> {
         let text = |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok());
         let number = |name| text(name).and_then(figure);
-        let mut pass = Vec::new();
+        let mut passed_on = Vec::new();
         if head.status == 200 {
-            http::pass_on(head.headers, &["X-Meter", "X-Settled", "Server-Load"], &mut pass);
+            http::pass_on(head.headers, &["X-Meter", "X-Settled", "Server-Load"], &mut passed_on);
         }
-        Heard::Mine(Said {
+        Heard::Mine(AnswerHead {
             never_ran: text("Not-Started").is_some_and(|v| v.trim() == "1"),
             used: number("X-Meter").map(|percent| percent / 100.0),
             units: number("X-Settled"),
-            head: pass,
+            passed_on,
         })
     }
 
     fn ended(&self, ended: Ended<ServerHandler>) {
         let (id, attempt) = (ended.id, ended.attempt);
-        let told = match ended.outcome {
+        let end = match ended.outcome {
             Ok(served) => {
                 let outcome = match served.status {
                     200 => Outcome::Ok,
                     503 | 504 if served.said.never_ran => Outcome::Full,
-                    // Sent to others it would fare no better, and it says nothing of how the fleet is.
+                    // Another server would reject it too, and it says nothing about the health of this one.
                     400..500 => Outcome::Rejected,
                     _ => Outcome::Error,
                 };
                 let answer = match outcome {
-                    Outcome::Ok => Some(Answer::new(200, served.said.head, served.body)),
+                    Outcome::Ok => Some(Answer::new(200, served.said.passed_on, served.body)),
                     Outcome::Rejected => Some(Answer::text(served.status, "")),
                     _ => None,
                 };
@@ -94,7 +98,7 @@
                 AttemptEnd { error: Some(error), ..AttemptEnd::without_answer(id, attempt, outcome) }
             }
         };
-        self.0.decisions.post(DecisionMessage::AttemptEnded(told));
+        self.0.decisions.post(DecisionMessage::AttemptEnded(end));
     }
 
     fn crowded(&self) {
