--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,6 @@
-//! curlewfront-gateway: one gateway on sockets around the decisions. The peers have a file each: clients,
-//! servers, discovery; the module owns the decisions. The sockets themselves are the work of `net`. All of it runs on one thread of coroutines.
+//! curlewfront-gateway: one gateway on sockets around the decisions. Clients, servers and discovery have a file each;
+//! the decision actor owns the decisions. `net` handles the sockets. The sockets, the decisions and the watch of
+//! discovery are coroutines on one thread.
 
 mod backoff;
 mod clients;
@@ -32,7 +33,7 @@
             return ExitCode::FAILURE;
         }
     };
-    // From here on no signal ends the program by itself.
+    // From here on these signals no longer end the program by themselves.
     let signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
         Ok(signals) => signals,
         Err(e) => {
@@ -41,11 +42,10 @@
         }
     };
     let (log, guard) = log::start(&config.name);
-    let ran = start(config, log, signals);
-    let code = match ran {
-        Ok((over, fleet)) => {
-            // Ends when all has been answered after a signal.
-            let _ = over.recv();
+    let code = match start(config, log, signals) {
+        Ok((drained, fleet)) => {
+            // Returns when all requests have been answered after a signal.
+            let _ = drained.recv();
             if let Some(fleet) = fleet {
                 fleet.leave();
             }
@@ -67,26 +67,27 @@
 ) -> Result<(Receiver<()>, Option<Arc<Handle>>), String> {
     net::set_up();
     let cannot = |what: &str, e: std::io::Error| format!("cannot {what}: {e}");
-    // Off, it is no thread, socket or file; on, what is wrong with its store is said before anything is served.
+    // Without a `fleet` configuration no thread, socket or file is opened for the group. With one, an error in its store
+    // is reported before the gateway serves anything.
     let fleet = config.fleet.as_ref().map(|f| curlewfront_fleet::run::start(f, &config.name, &log));
     let fleet = fleet.transpose()?.map(Arc::new);
     let decider = Decider::new(config.settings.clone(), config.seed).map_err(|e| e.to_string())?;
     let clock = Clock::start();
     let alarms = Alarms::start(clock).map_err(|e| cannot("set up timers", e))?;
     let alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
-    let pause = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
-    let mut shared = Shared::new(config, clock, alarms, log, alarm.bell(), pause.bell());
+    let discovery_alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
+    let mut shared = Shared::new(config, clock, alarms, log, alarm.bell(), discovery_alarm.bell());
     shared.fleet.clone_from(&fleet);
     let shared = Arc::new(shared);
     let listen = shared.config.listen;
-    let front = Arc::new(clients::ClientHandler(shared.clone()));
-    let clients = Door::start(listen, shared.room.clone(), front)
+    let handler = Arc::new(clients::ClientHandler(shared.clone()));
+    let clients = Door::start(listen, shared.room.clone(), handler)
         .map_err(|e| cannot(&format!("listen on {listen}"), e))?;
-    let (over, ended) = std::sync::mpsc::channel();
-    signals::start(shared.clone(), clients, signals, over).map_err(|e| cannot("watch for signals", e))?;
+    let (drained, drained_receiver) = std::sync::mpsc::channel();
+    signals::start(shared.clone(), clients, signals, drained).map_err(|e| cannot("watch for signals", e))?;
     decisions::start(shared.clone(), decider, alarm);
-    discovery::start(shared.clone(), pause).map_err(|e| cannot("watch discovery", e))?;
+    discovery::start(shared.clone(), discovery_alarm).map_err(|e| cannot("watch discovery", e))?;
     slog::info!(shared.log, "serving"; "listen" => %listen, "servers" => shared.config.known.servers.len(),
         "sockets" => shared.config.sockets, "memory_mb" => shared.config.memory_mb);
-    Ok((ended, fleet))
+    Ok((drained_receiver, fleet))
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,6 +1,6 @@
-//! Signals. SIGHUP: the configuration is read anew; where it names another discovery, the list's actor moves there.
-//! SIGTERM: the gateway serves on, closes each client's connection after its answer, and ends once all is answered
-//! and no new connections can come any more.
+//! Signals. SIGHUP reads the configuration again; if it names another discovery, the discovery actor moves its watch
+//! there. SIGTERM and SIGINT drain the gateway: it goes on serving, closes each client's connection after its answer,
+//! and ends once no request is left and no new connections are to be expected.
 
 use crate::clients::ClientHandler;
 use crate::shared::Shared;
@@ -15,34 +15,34 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Sender;
 
-/// New connections keep coming for a while after the signal.
-const STILL_COMING_US: Micros = 1_000_000;
-const LOOK_EVERY_US: Micros = 50_000;
+/// New connections keep coming for a while after the signal, so a drain takes at least this long.
+const MIN_DRAIN_US: Micros = 1_000_000;
+const DRAIN_POLL_US: Micros = 50_000;
 
 pub fn start(
     shared: Arc<Shared>,
     clients: Arc<Door<ClientHandler>>,
     mut signals: Signals,
-    over: Sender<()>,
+    drained: Sender<()>,
 ) -> io::Result<()> {
-    let mut end = Some((Alarm::new(shared.room.clock)?, clients, over));
-    // A thread of its own: it waits for signals and reads a file, which must not hold up the coroutines.
+    let mut drain_parts = Some((Alarm::new(shared.room.clock)?, clients, drained));
+    // A separate thread: waiting for signals and reading a file would block the coroutines.
     std::thread::Builder::new().name("signals".into()).spawn(move || {
         let mut discovery = shared.config.discovery;
         for signal in signals.forever() {
             if signal == SIGHUP {
                 reload(&shared, &mut discovery);
-            } else if let Some((alarm, clients, over)) = end.take() {
+            } else if let Some((alarm, clients, drained)) = drain_parts.take() {
                 shared.draining.store(true, Ordering::Relaxed);
                 let shared = shared.clone();
-                may::go!(move || drain(&shared, alarm, &clients, &over));
+                may::go!(move || drain(&shared, alarm, &clients, &drained));
             }
         }
     })?;
     Ok(())
 }
 
-/// A file that is no good changes nothing: the gateway goes on with what it has, while draining too.
+/// Reads the configuration again. An invalid file changes nothing. This also works while the gateway drains.
 fn reload(shared: &Shared, discovery: &mut std::net::SocketAddr) {
     let read = Config::reload(|name| std::env::var(name).ok());
     let config = match read {
@@ -51,9 +51,9 @@
             return slog::error!(shared.log, "new configuration refused, the old one stays"; "why" => why);
         }
     };
-    let fixed = shared.config.fixed_that_differ(&config).join(", ");
-    if !fixed.is_empty() {
-        slog::warn!(shared.log, "of the new configuration these take a new start"; "keys" => fixed);
+    let keys = shared.config.fixed_that_differ(&config).join(", ");
+    if !keys.is_empty() {
+        slog::warn!(shared.log, "of the new configuration these take a new start"; "keys" => keys);
     }
     slog::info!(shared.log, "configuration read anew"; "discovery" => %config.discovery,
         "moved" => config.discovery != *discovery);
@@ -63,15 +63,15 @@
     }
 }
 
-fn drain(shared: &Shared, mut alarm: Alarm, clients: &Door<ClientHandler>, over: &Sender<()>) {
-    let asked_at = shared.room.clock.now();
+fn drain(shared: &Shared, mut alarm: Alarm, clients: &Door<ClientHandler>, drained: &Sender<()>) {
+    let signalled_at = shared.room.clock.now();
     slog::info!(shared.log, "asked to end: serving what comes, closing connections");
     loop {
-        alarm.sleep(LOOK_EVERY_US);
-        if shared.room.clock.now() >= asked_at + STILL_COMING_US && clients.busy() == 0 {
+        alarm.sleep(DRAIN_POLL_US);
+        if shared.room.clock.now() >= signalled_at + MIN_DRAIN_US && clients.busy() == 0 {
             break;
         }
     }
     slog::info!(shared.log, "all answered");
-    let _ = over.send(());
+    let _ = drained.send(());
 }
