--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery: watches the list of servers, one JSON object a line, and hands it on. A watch that falls silent
-//! is given up and taken up again from the last version; the list at hand stays in force meanwhile. When the
-//! configuration names another discovery, the watch moves there at once.
+//! The discovery actor: watches the list of servers, one JSON object per line, and hands each line to the decision
+//! actor. A watch that falls silent is given up, and the next one continues from the last version; the current list
+//! stays in force meanwhile. When the configuration names another discovery, the watch moves there at once.
 
 use crate::backoff::Backoff;
 use crate::clients::BOUNDS;
@@ -16,74 +16,75 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// While nothing changes a line comes every 2 s: so long without one, and the watch is taken for dead. What
-/// discovery has to tell counts as told some seconds later whether it came or not, so the next watch must stand
-/// well within that time. After a move it is 4 s, and the next watch needs up to one of them.
+/// A watch without a line for this long counts as dead: a line comes every 2 s even if nothing changes. What discovery
+/// announces counts as known some seconds later whether it arrived or not, so the next watch must be up well within
+/// that time. After a move to another discovery it is 4 s, of which the next watch needs up to one.
 const SILENCE_US: Micros = 2_600_000;
-/// A connection that takes so long to come up is no good: the agent is on this machine.
+/// The agent is on this machine, so a connection that takes longer than this is given up.
 const CONNECT_US: Micros = 1_000_000;
-/// The agent may have to wait for discovery, which has a line of callers when many come at once. Who leaves the line
-/// and joins it anew has made it longer and gets nothing, so this stands above the time that a call may wait there.
+/// The agent may have to wait for discovery, which queues calls when many come at once. A caller that gives up and calls
+/// again only lengthens the queue and gets nothing, so this is longer than a call may wait there.
 const ANSWER_US: Micros = 3_000_000;
-/// The longest line: a list of many thousand servers.
-const MOST_LINE: usize = 4 * 1024 * 1024;
+/// In bytes; enough for a list of many thousand servers.
+const MAX_LINE: usize = 4 * 1024 * 1024;
+/// Stack size of the actor in machine words. Reading JSON needs more than a connection does.
+const STACK_WORDS: usize = 0x8000;
 
-pub fn start(shared: Arc<Shared>, mut pause: Alarm) -> io::Result<()> {
+pub fn start(shared: Arc<Shared>, mut alarm: Alarm) -> io::Result<()> {
     let settings = &shared.config.settings;
     let mut backoff = Backoff::new(settings.balancers, !settings.ask_for_list, shared.config.seed);
-    let work = move || {
+    let run = move || {
         let (mut host, mut version) = (shared.config.discovery, shared.config.known.version);
-        // The first call at once: the list saved here may name servers long gone, and whatever the agent holds of that
-        // counts as told from the start.
+        // The first call is made at once: the saved list may name servers that are long gone, and all that the agent
+        // has heard of them counts as known from the start.
         let mut wait = 0;
         loop {
-            shared.discovery.rehang(pause.bell());
-            pause.sleep_while(wait, || shared.discovery.is_empty());
-            if let Some(moved) = std::iter::from_fn(|| shared.discovery.pop()).last() {
-                // Another discovery may count its versions anew: all is asked for again, the list stays meanwhile.
-                (host, version) = (moved, 0);
+            shared.discovery.rehang(alarm.bell());
+            alarm.sleep_while(wait, || shared.discovery.is_empty());
+            if let Some(new_host) = std::iter::from_fn(|| shared.discovery.pop()).last() {
+                // Another discovery may number its versions differently, so the whole list is requested again. The
+                // current list stays in force meanwhile.
+                (host, version) = (new_host, 0);
                 backoff.reset();
             }
-            let before = version;
-            let (mut beats, called_at) = (0, shared.room.clock.now());
-            let why = watch(&shared, host, &mut version, &mut beats).err();
+            let version_before = version;
+            let (mut lines, called_at) = (0, shared.room.clock.now());
+            let why = watch(&shared, host, &mut version, &mut lines).err();
             let why = why.map_or_else(|| "ended".to_string(), |e| e.to_string());
             slog::warn!(shared.log, "watch of the list ended"; "why" => why, "at" => %host, "version" => version,
-                "lines" => beats);
-            // One that lasted no longer than a call may wait for its answer was turned away, whatever came before.
-            let served = version != before || shared.room.clock.now() >= called_at + ANSWER_US;
+                "lines" => lines);
+            // A watch that brought no new version and lasted no longer than a call may wait for its answer counts as
+            // rejected.
+            let served = version != version_before || shared.room.clock.now() >= called_at + ANSWER_US;
             wait = if served { backoff.after_watch_end() } else { backoff.after_failure() };
         }
     };
-    // Reading JSON needs more room than connections do.
-    may::go!(may::coroutine::Builder::new().stack_size(STACK), work)?;
+    may::go!(may::coroutine::Builder::new().stack_size(STACK_WORDS), run)?;
     Ok(())
 }
 
-/// In machine words.
-const STACK: usize = 0x8000;
-
 fn malformed(what: impl ToString) -> io::Error {
     io::Error::new(ErrorKind::InvalidData, what.to_string())
 }
 
-/// One watch, up to its end.
-fn watch(shared: &Arc<Shared>, host: SocketAddr, version: &mut u64, beats: &mut u64) -> io::Result<()> {
+/// Runs one watch until it ends. Updates `version` to that of the last list, and counts the lines received.
+fn watch(shared: &Arc<Shared>, host: SocketAddr, version: &mut u64, lines: &mut u64) -> io::Result<()> {
     let io = connect(host, None)?;
     shared.discovery.rehang(io.bell());
-    let mut patience = Patience { shared, io: &io, until: shared.room.clock.now() + CONNECT_US, armed: None };
+    let mut deadline =
+        Deadline { shared, io: &io, until: shared.room.clock.now() + CONNECT_US, wake_at: None };
     let mut seen = 0;
     while seen & events::WRITABLE == 0 {
         if let Some(e) = io.inner().take_error()? {
             return Err(e);
         }
-        patience.check("connection never came up")?;
+        deadline.check("connect timed out")?;
         seen = io.wait();
     }
-    patience.until = shared.room.clock.now() + ANSWER_US;
-    let ask = format!("GET /catalog/members?watch=1&after={version} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+    deadline.until = shared.room.clock.now() + ANSWER_US;
+    let request = format!("GET /catalog/members?watch=1&after={version} HTTP/1.1\r\nHost: {host}\r\n\r\n");
     let (mut incoming, mut outgoing) = (Ring::default(), Outgoing::default());
-    outgoing.push(ask.as_bytes());
+    outgoing.push(request.as_bytes());
     let (mut body, mut line) = (None, Vec::new());
     loop {
         let mut socket = io.inner();
@@ -92,9 +93,9 @@
             match incoming.fill(BOUNDS.held(), |room| socket.read(room)) {
                 Ok(Some(filled)) if filled.bytes == 0 => return Ok(()),
                 Ok(_) => {
-                    digest(shared, &mut incoming, &mut body, &mut line, version, beats)?;
+                    receive(shared, &mut incoming, &mut body, &mut line, version, lines)?;
                     if body.is_some() {
-                        patience.until = shared.room.clock.now() + SILENCE_US;
+                        deadline.until = shared.room.clock.now() + SILENCE_US;
                     }
                     if body.as_ref().is_some_and(Body::done) {
                         return Ok(());
@@ -105,21 +106,21 @@
                 Err(e) => return Err(e),
             }
         }
-        patience.check("silent")?;
+        deadline.check("silent")?;
         io.wait();
     }
 }
 
-/// Ends a wait that has lasted too long, or for a discovery that is the right one no more.
-struct Patience<'a> {
+/// Ends a watch whose time is up, or whose discovery has been replaced by another.
+struct Deadline<'a> {
     shared: &'a Shared,
     io: &'a Watched<TcpStream>,
     until: Micros,
-    /// When the bell will be rung next.
-    armed: Option<Micros>,
+    /// When the actor will be woken next.
+    wake_at: Option<Micros>,
 }
 
-impl Patience<'_> {
+impl Deadline<'_> {
     fn check(&mut self, what: &str) -> io::Result<()> {
         let now = self.shared.room.clock.now();
         if !self.shared.discovery.is_empty() {
@@ -128,9 +129,9 @@
         if now >= self.until {
             return Err(io::Error::new(ErrorKind::TimedOut, what.to_string()));
         }
-        if self.armed.is_none_or(|at| at <= now) {
+        if self.wake_at.is_none_or(|at| at <= now) {
             let at = self.until + 1000;
-            self.armed = Some(at);
+            self.wake_at = Some(at);
             let bell = self.io.bell();
             self.shared.room.alarms.after(at - now, move || bell.ring());
         }
@@ -138,18 +139,19 @@
     }
 }
 
-fn digest(
+/// Reads the answer from the bytes received so far and hands on each complete line.
+fn receive(
     shared: &Shared,
     incoming: &mut Ring,
     body: &mut Option<Body>,
     line: &mut Vec<u8>,
     version: &mut u64,
-    beats: &mut u64,
+    lines: &mut u64,
 ) -> io::Result<()> {
     if body.is_none() {
-        let mut slots = http::NO_HEADERS;
+        let mut headers = http::NO_HEADERS;
         let head =
-            http::response(incoming.bytes(), &mut slots, BOUNDS, false).map_err(|e| malformed(e.what))?;
+            http::response(incoming.bytes(), &mut headers, BOUNDS, false).map_err(|e| malformed(e.what))?;
         let Some(head) = head else { return Ok(()) };
         if head.status != 200 {
             return Err(malformed(format!("discovery answered {}", head.status)));
@@ -159,19 +161,19 @@
         *body = Some(Body::new(framing, BOUNDS));
     }
     while let Some(body) = body.as_mut().filter(|_| !incoming.is_empty()) {
-        // In pieces, so that a long list never has to fit the limit of a message's body.
+        // Taken in pieces, because a long list may exceed the size limit of a message's body.
         let bytes = incoming.bytes();
         let piece = bytes.len().min(BOUNDS.body / 2);
         let used = body.take(&bytes[..piece]).map_err(|e| malformed(e.what))?;
         incoming.consume(used);
         for part in std::mem::take(&mut body.content).split_inclusive(|b| *b == b'\n') {
             line.extend_from_slice(part);
-            if line.len() > MOST_LINE {
+            if line.len() > MAX_LINE {
                 return Err(malformed("line too long"));
             }
             if part.ends_with(b"\n") {
-                *beats += 1;
-                tell(shared, line, version)?;
+                *lines += 1;
+                hand_on(shared, line, version)?;
                 line.clear();
             }
         }
@@ -182,7 +184,8 @@
     Ok(())
 }
 
-fn tell(shared: &Shared, line: &[u8], version: &mut u64) -> io::Result<()> {
+/// Hands the list in `line` to the decision actor. Empty lines are keepalives.
+fn hand_on(shared: &Shared, line: &[u8], version: &mut u64) -> io::Result<()> {
     let text = line.trim_ascii();
     if text.is_empty() {
         return Ok(());
