--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what a gateway meets, on the loopback address and ports that the system chooses: servers that
-//! do as they are told, an agent of discovery, clients. All waits are bounded.
-#![allow(dead_code)] // each test file uses a part of them
+//! Test doubles of a gateway's peers, on the loopback address and ports that the system chooses: scripted servers, a
+//! discovery agent, clients. All waits are bounded.
+#![allow(dead_code)] // each test file uses only some of them
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,32 +10,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub const WAIT: Duration = Duration::from_secs(10);
+/// Limit of every wait.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a server meets a request.
+/// What a server does with a request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// These bytes, in pieces of so many, then on with the connection.
-    Say(String),
-    Pieces(String, usize),
-    /// These bytes, then the end of the connection.
-    SayAndEnd(String),
-    /// A reset instead of an answer.
+pub enum ServerAction {
+    /// Sends this text and keeps the connection open.
+    Send(String),
+    /// Sends this text in pieces of so many bytes and keeps the connection open.
+    SendInPieces(String, usize),
+    /// Sends this text and closes the connection.
+    SendAndClose(String),
+    /// Resets the connection without an answer.
     Reset,
-    Silence,
-    /// An answer, and after a while bytes that nobody asked for.
-    Stray(String, Duration, String),
-    /// An answer after a while.
-    Late(Duration, String),
-    /// An answer once this holds.
-    Held(Arc<AtomicBool>, String),
+    /// Never answers, and keeps the connection open.
+    NoAnswer,
+    /// Sends an answer, waits, then sends bytes that belong to no request.
+    SendThenStray(String, Duration, String),
+    /// Sends this answer after a delay.
+    SendLate(Duration, String),
+    /// Sends this answer once the flag is set.
+    SendWhen(Arc<AtomicBool>, String),
 }
 
+/// A 200 answer with this body.
 pub fn ok(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A message as it was read: its first line and headers, and its body.
+/// A message as received: its first line and headers, and its body.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
@@ -54,12 +58,12 @@
     }
 }
 
-/// Reads one message; None at the end of the connection.
-pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
+/// Reads one message; `None` at the end of the connection.
+pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut head = String::new();
     loop {
         let mut line = String::new();
-        if from.read_line(&mut line).ok()? == 0 {
+        if reader.read_line(&mut line).ok()? == 0 {
             return None;
         }
         if line == "\r\n" {
@@ -70,18 +74,20 @@
     let message = Message { head, body: String::new() };
     let length = message.header("Content-Length").and_then(|v| v.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
-    from.read_exact(&mut body).ok()?;
+    reader.read_exact(&mut body).ok()?;
     Some(Message { body: String::from_utf8(body).ok()?, ..message })
 }
 
-/// A server that does what it was told, in turn, and else answers 200 `done`.
+/// A server that performs the scripted actions, one per request, and answers 200 `done` to all further requests.
 pub struct Server {
     pub addr: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    /// All requests so far.
+    pub received: Arc<Mutex<Vec<Message>>>,
+    /// Connections accepted so far.
     pub connections: Arc<AtomicUsize>,
-    /// Stray bytes that have been sent.
+    /// How often stray bytes have been sent.
     pub strays: Arc<AtomicUsize>,
-    script: Arc<Mutex<VecDeque<Act>>>,
+    script: Arc<Mutex<VecDeque<ServerAction>>>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -91,77 +97,85 @@
         let addr = listener.local_addr().expect("bound");
         let server = Server {
             addr,
-            seen: Arc::default(),
+            received: Arc::default(),
             connections: Arc::default(),
             strays: Arc::default(),
             script: Arc::default(),
             open: Arc::default(),
         };
-        let (seen, script) = (server.seen.clone(), server.script.clone());
+        let (received, script) = (server.received.clone(), server.script.clone());
         let (connections, open) = (server.connections.clone(), server.open.clone());
         let strays = server.strays.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 connections.fetch_add(1, Ordering::SeqCst);
                 open.lock().unwrap().push(stream.try_clone().unwrap());
-                let (seen, script, strays) = (seen.clone(), script.clone(), strays.clone());
-                std::thread::spawn(move || serve(stream, &seen, &script, &strays));
+                let (received, script, strays) = (received.clone(), script.clone(), strays.clone());
+                std::thread::spawn(move || serve(stream, &received, &script, &strays));
             }
         });
         server
     }
 
-    pub fn then(&self, act: Act) -> &Server {
-        self.script.lock().unwrap().push_back(act);
+    /// Adds an action to the script.
+    pub fn then(&self, action: ServerAction) -> &Server {
+        self.script.lock().unwrap().push_back(action);
         self
     }
 
     pub fn requests(&self) -> usize {
-        self.seen.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 
-    /// Ends all its connections, the listener stays.
-    pub fn drop_connections(&self) {
+    /// Closes all its connections; the listener stays.
+    pub fn close_connections(&self) {
         self.open.lock().unwrap().drain(..).for_each(|s| drop(s.shutdown(Shutdown::Both)));
     }
 }
 
-fn serve(stream: TcpStream, seen: &Mutex<Vec<Message>>, script: &Mutex<VecDeque<Act>>, strays: &AtomicUsize) {
-    let mut from = BufReader::new(stream.try_clone().unwrap());
-    let mut to = stream;
-    while let Some(message) = read_message(&mut from) {
-        seen.lock().unwrap().push(message);
-        let act = script.lock().unwrap().pop_front().unwrap_or(Act::Say(ok("done")));
-        let wrote = match act {
-            Act::Say(text) => to.write_all(text.as_bytes()),
-            Act::Pieces(text, size) => text.as_bytes().chunks(size).try_for_each(|piece| {
+fn serve(
+    stream: TcpStream,
+    received: &Mutex<Vec<Message>>,
+    script: &Mutex<VecDeque<ServerAction>>,
+    strays: &AtomicUsize,
+) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let mut writer = stream;
+    while let Some(message) = read_message(&mut reader) {
+        received.lock().unwrap().push(message);
+        let action = script.lock().unwrap().pop_front().unwrap_or(ServerAction::Send(ok("done")));
+        let wrote = match action {
+            ServerAction::Send(text) => writer.write_all(text.as_bytes()),
+            ServerAction::SendInPieces(text, size) => text.as_bytes().chunks(size).try_for_each(|piece| {
                 std::thread::sleep(Duration::from_millis(2));
-                to.write_all(piece)
+                writer.write_all(piece)
             }),
-            Act::SayAndEnd(text) => {
-                let _ = to.write_all(text.as_bytes());
-                let _ = to.shutdown(Shutdown::Both);
+            ServerAction::SendAndClose(text) => {
+                let _ = writer.write_all(text.as_bytes());
+                let _ = writer.shutdown(Shutdown::Both);
                 return;
             }
-            Act::Reset => {
-                // Closed with bytes unread and no time to linger: the other side gets a reset.
-                let _ = socket2::SockRef::from(&to).set_linger(Some(Duration::ZERO));
+            ServerAction::Reset => {
+                // Closing with a linger time of zero sends a reset to the other side.
+                let _ = socket2::SockRef::from(&writer).set_linger(Some(Duration::ZERO));
                 return;
             }
-            Act::Silence => Ok(()),
-            Act::Stray(text, wait, stray) => to.write_all(text.as_bytes()).and_then(|()| {
-                std::thread::sleep(wait);
-                let wrote = to.write_all(stray.as_bytes());
-                strays.fetch_add(1, Ordering::SeqCst);
-                wrote
-            }),
-            Act::Held(go, text) => {
-                until("the answer is let go", || go.load(Ordering::SeqCst));
-                to.write_all(text.as_bytes())
+            ServerAction::NoAnswer => Ok(()),
+            ServerAction::SendThenStray(text, wait, stray) => {
+                writer.write_all(text.as_bytes()).and_then(|()| {
+                    std::thread::sleep(wait);
+                    let wrote = writer.write_all(stray.as_bytes());
+                    strays.fetch_add(1, Ordering::SeqCst);
+                    wrote
+                })
+            }
+            ServerAction::SendWhen(flag, text) => {
+                wait_until("the flag is set", || flag.load(Ordering::SeqCst));
+                writer.write_all(text.as_bytes())
             }
-            Act::Late(wait, text) => {
+            ServerAction::SendLate(wait, text) => {
                 std::thread::sleep(wait);
-                to.write_all(text.as_bytes())
+                writer.write_all(text.as_bytes())
             }
         };
         if wrote.is_err() {
@@ -170,11 +184,11 @@
     }
 }
 
-/// The agent of discovery: each watch gets the lines at hand, then those that are told.
+/// A discovery agent: it accepts watches, and each watch gets the lines sent from then on.
 pub struct Discovery {
     pub addr: SocketAddr,
-    /// The request lines of the watches so far.
-    pub asked: Arc<Mutex<Vec<String>>>,
+    /// The request lines of all watches so far.
+    pub requests: Arc<Mutex<Vec<String>>>,
     watchers: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -182,42 +196,47 @@
     pub fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("bound");
-        let discovery = Discovery { addr, asked: Arc::default(), watchers: Arc::default() };
-        let (asked, watchers) = (discovery.asked.clone(), discovery.watchers.clone());
+        let discovery = Discovery { addr, requests: Arc::default(), watchers: Arc::default() };
+        let (requests, watchers) = (discovery.requests.clone(), discovery.watchers.clone());
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let mut from = BufReader::new(stream.try_clone().unwrap());
-                let Some(message) = read_message(&mut from) else { continue };
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                let Some(message) = read_message(&mut reader) else { continue };
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watchers.lock().unwrap().push(stream);
-                asked.lock().unwrap().push(message.head.lines().next().unwrap_or("").to_string());
+                requests.lock().unwrap().push(message.head.lines().next().unwrap_or("").to_string());
             }
         });
         discovery
     }
 
     /// Sends raw bytes to all watchers.
-    pub fn raw(&self, bytes: &[u8]) {
+    pub fn send_raw(&self, bytes: &[u8]) {
         self.watchers.lock().unwrap().iter_mut().for_each(|w| drop(w.write_all(bytes)));
     }
 
-    pub fn tell(&self, line: &str) {
-        self.raw(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
+    /// Sends a line, in a chunk of its own, to all watchers.
+    pub fn send_line(&self, line: &str) {
+        self.send_raw(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
     }
 
-    pub fn beat(&self) {
-        self.raw(b"1\r\n\n\r\n");
+    /// Sends an empty line, as discovery does while nothing changes.
+    pub fn send_keepalive(&self) {
+        self.send_raw(b"1\r\n\n\r\n");
     }
 
-    pub fn drop_watches(&self) {
+    /// Closes the connections of all watches.
+    pub fn close_watches(&self) {
         self.watchers.lock().unwrap().drain(..).for_each(|w| drop(w.shutdown(Shutdown::Both)));
     }
 
+    /// The number of watches so far.
     pub fn watches(&self) -> usize {
-        self.asked.lock().unwrap().len()
+        self.requests.lock().unwrap().len()
     }
 }
 
+/// One line of discovery: servers by id, address and state.
 pub fn list(version: u64, full: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<String> = servers
         .iter()
@@ -230,7 +249,7 @@
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","))
 }
 
-/// What a gateway is started with.
+/// The configuration of a gateway, as far as tests vary it.
 pub struct Setup {
     pub known: String,
     pub sockets: u32,
@@ -239,16 +258,17 @@
     pub attempts_cap: u32,
     pub conn_idle_ms: u64,
     pub rate: f64,
-    /// The time to connect, and that in which an answer that has begun must be whole. Long, so that a test which is not
-    /// about it does not rest on how fast the stand-ins get their turn on a busy machine.
+    /// Time to connect, and time in which an answer that has begun must be complete. The default is long, so that tests
+    /// that are not about it do not depend on how fast the test doubles run on a busy machine.
     pub dial_ms: u64,
-    /// The longest that a client of the one class may wait.
+    /// The deadline of the only class.
     pub deadline_ms: u64,
-    /// What the system allows, if not what the configuration says.
+    /// Limit of descriptors that the system sets (`ulimit -n`), if it differs from the configuration's.
     pub descriptors: Option<u32>,
 }
 
 impl Setup {
+    /// The defaults, with these servers as the known list.
     pub fn with(servers: &[&Server]) -> Setup {
         let names: Vec<String> = (0..servers.len()).map(|n| format!("s-{n}")).collect();
         let lines: Vec<_> = servers.iter().zip(&names).map(|(s, n)| (n.as_str(), s.addr, "Ready")).collect();
@@ -267,26 +287,30 @@
     }
 }
 
+/// A running gateway process, killed when dropped.
 pub struct Gateway {
     pub addr: SocketAddr,
     child: Child,
     folder: std::path::PathBuf,
     config: String,
+    /// Keeps the port from being taken by others.
     _port: socket2::Socket,
 }
 
+/// Numbers the gateways of this process, for the names of their folders.
 static COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// A port at which nobody listens, and that nobody else gets, until the socket is dropped: it is bound and does not
-/// listen. A gateway, which binds with SO_REUSEADDR, may listen there meanwhile.
-pub fn keep_port() -> (socket2::Socket, SocketAddr) {
-    let kept = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    kept.set_reuse_address(true).expect("set");
-    kept.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
-    let addr = kept.local_addr().expect("bound").as_socket().expect("an address");
-    (kept, addr)
+/// Reserves a port until the socket is dropped: it is bound without listening, so connections to it are refused and no
+/// other process gets it. A gateway, which binds with SO_REUSEADDR, can listen there meanwhile.
+pub fn reserve_port() -> (socket2::Socket, SocketAddr) {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket.set_reuse_address(true).expect("set");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
+    let addr = socket.local_addr().expect("bound").as_socket().expect("an address");
+    (socket, addr)
 }
 
+/// The `settings` object of the configuration.
 pub fn settings(setup: &Setup) -> String {
     format!(
         r#"{{"balancers":1,"index":0,"granularityUs":1000,"membershipMode":"pushed",
@@ -306,8 +330,9 @@
 }
 
 impl Gateway {
+    /// Starts a gateway and waits until it is ready.
     pub fn start(setup: &Setup, discovery: &Discovery) -> Gateway {
-        let (port, addr) = keep_port();
+        let (port, addr) = reserve_port();
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("curlewfront-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -323,9 +348,9 @@
         std::fs::write(&path, &text).expect("written");
         let program = env!("CARGO_BIN_EXE_curlewfront-gateway");
         let mut command = Command::new(program);
-        if let Some(most) = setup.descriptors {
+        if let Some(limit) = setup.descriptors {
             command = Command::new("/bin/sh");
-            command.args(["-c", &format!("ulimit -n {most}; exec {program:?}")]);
+            command.args(["-c", &format!("ulimit -n {limit}; exec {program:?}")]);
         }
         let child = command
             .env("EDGE_CONFIG", &path)
@@ -336,24 +361,25 @@
             .spawn()
             .expect("the gateway starts");
         let mut gateway = Gateway { addr, child, folder, config: text, _port: port };
-        let from = Instant::now();
-        while from.elapsed() < WAIT {
+        let started = Instant::now();
+        while started.elapsed() < TIMEOUT {
             if let Ok(mut c) = Client::try_connect(addr)
                 && c.get("/_health").is_some_and(|m| m.status() == 200)
             {
                 return gateway;
             }
-            let ended = gateway.child.try_wait().expect("a child");
-            assert!(ended.is_none(), "the gateway ended at its start: {ended:?}");
+            let exited = gateway.child.try_wait().expect("a child");
+            assert!(exited.is_none(), "the gateway ended at its start: {exited:?}");
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("the gateway did not start within {WAIT:?}");
+        panic!("the gateway did not start within {TIMEOUT:?}");
     }
 
     pub fn client(&self) -> Client {
         Client::try_connect(self.addr).expect("the gateway takes connections")
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(nix::sys::signal::SIGTERM);
     }
@@ -363,23 +389,23 @@
         nix::sys::signal::kill(pid, signal).expect("signalled");
     }
 
-    /// Replaces the file of the configuration and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.folder.join("config.json"), text).expect("written");
         self.signal(nix::sys::signal::SIGHUP);
     }
 
-    /// The configuration it was started with, naming another discovery.
-    pub fn config_with(&self, discovery: &Discovery) -> String {
+    /// The configuration that it was started with, but with this discovery.
+    pub fn config_with_discovery(&self, discovery: &Discovery) -> String {
         let (front, rest) = self.config.split_once(r#""discovery":""#).expect("it names one");
         let (_, rest) = rest.split_once('"').expect("whole");
         format!(r#"{front}"discovery":"{}"{rest}"#, discovery.addr)
     }
 
-    /// How it ended, if it did so within the time.
-    pub fn ended(&mut self, within: Duration) -> Option<std::process::ExitStatus> {
-        let from = Instant::now();
-        while from.elapsed() < within {
+    /// Waits for the process to exit; `None` if it still runs after this time.
+    pub fn wait_for_exit(&mut self, within: Duration) -> Option<std::process::ExitStatus> {
+        let started = Instant::now();
+        while started.elapsed() < within {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return Some(status);
             }
@@ -396,18 +422,19 @@
         tasks.filter_map(name).map(|n| n.trim().to_string()).collect()
     }
 
+    /// The number of its open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// The most memory it has held, in MB.
+    /// Its peak resident memory in MB.
     pub fn memory_mb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = text.lines().find(|l| l.starts_with("VmHWM:")).expect("told");
+        let line = text.lines().find(|l| l.starts_with("VmHWM:")).expect("a line VmHWM");
         line.split_whitespace().nth(1).and_then(|kb| kb.parse::<u64>().ok()).expect("a number") / 1024
     }
 
-    /// Time on a processor so far, in ticks of the system's clock.
+    /// Processor time used so far, in clock ticks of the system.
     pub fn cpu_ticks(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
         let rest = text.rsplit(") ").next().expect("fields");
@@ -423,14 +450,16 @@
     }
 }
 
+/// A client's connection to the gateway.
 pub struct Client {
     pub stream: TcpStream,
-    from: BufReader<TcpStream>,
+    reader: BufReader<TcpStream>,
 }
 
+/// Numbers the requests of this process, for their ids.
 static IDS: AtomicUsize = AtomicUsize::new(1);
 
-/// A request of customer 1, with a body.
+/// The text of a request of customer 1 with this body.
 pub fn post(timeout_ms: u64, body: &str) -> String {
     let id = IDS.fetch_add(1, Ordering::SeqCst);
     format!(
@@ -443,25 +472,26 @@
 
 impl Client {
     pub fn try_connect(addr: SocketAddr) -> std::io::Result<Client> {
-        let stream = TcpStream::connect_timeout(&addr, WAIT)?;
+        let stream = TcpStream::connect_timeout(&addr, TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(WAIT))?;
-        Ok(Client { from: BufReader::new(stream.try_clone()?), stream })
+        stream.set_read_timeout(Some(TIMEOUT))?;
+        Ok(Client { reader: BufReader::new(stream.try_clone()?), stream })
     }
 
     pub fn send(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).expect("written");
     }
 
+    /// Reads one answer; `None` if the connection ends or stays silent.
     pub fn read(&mut self) -> Option<Message> {
-        read_message(&mut self.from)
+        read_message(&mut self.reader)
     }
 
-    pub fn ask(&mut self, request: &str) -> Message {
-        let from = Instant::now();
+    pub fn request(&mut self, request: &str) -> Message {
+        let started = Instant::now();
         self.send(request);
         self.read().unwrap_or_else(|| {
-            panic!("no answer after {:?}, the connection ended or is silent", from.elapsed())
+            panic!("no answer after {:?}, the connection ended or is silent", started.elapsed())
         })
     }
 
@@ -470,7 +500,7 @@
         self.read()
     }
 
-    /// Something has come that was not read yet.
+    /// Whether there is something to read.
     pub fn has_answer(&self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
         let there = matches!(self.stream.peek(&mut [0; 1]), Ok(1));
@@ -478,23 +508,24 @@
         there
     }
 
-    /// What it is sent before the other side ends the connection, and after how long that was.
-    pub fn until_end(mut self) -> (String, Duration) {
-        let (from, mut got) = (Instant::now(), Vec::new());
-        let _ = self.from.read_to_end(&mut got);
-        (String::from_utf8_lossy(&got).into_owned(), from.elapsed())
+    /// Reads all that comes until the gateway closes the connection, and measures how long that takes.
+    pub fn read_to_end_of_connection(mut self) -> (String, Duration) {
+        let (started, mut got) = (Instant::now(), Vec::new());
+        let _ = self.reader.read_to_end(&mut got);
+        (String::from_utf8_lossy(&got).into_owned(), started.elapsed())
     }
 
-    /// The other side has ended the connection, with nothing more to read.
-    pub fn at_end(&mut self) -> bool {
-        matches!(self.from.read(&mut [0; 1]), Ok(0) | Err(_))
+    /// Waits until the gateway closes the connection, at most `TIMEOUT`; false if there is something to read instead.
+    pub fn is_closed(&mut self) -> bool {
+        matches!(self.reader.read(&mut [0; 1]), Ok(0) | Err(_))
     }
 }
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let from = Instant::now();
+/// Waits until the condition holds; fails with `what` after `TIMEOUT`.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let started = Instant::now();
     while !holds() {
-        assert!(from.elapsed() < WAIT, "not within {WAIT:?}: {what}");
+        assert!(started.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Discovery, Gateway, Server, Setup, until};
+use common::{Discovery, Gateway, Server, Setup, wait_until};
 use std::process::Command;
 
 fn run(config: &str) -> (bool, String) {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn bad_configuration_is_named_and_ends_it() {
+fn a_bad_configuration_is_reported_and_ends_the_start() {
     let settings = r#"{"balancers":1,"classes":[{"name":"v","aimUs":1,"deadlineUs":2,"effect":"once"}],"tiersOfService":[{"name":"t"}]}"#;
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = taken.local_addr().map(|a| (taken, a)).expect("bound");
@@ -36,19 +36,19 @@
         ),
     ];
     for (config, says) in cases {
-        let (good, error) = run(&config);
-        assert!(!good, "{config} was taken");
+        let (succeeded, error) = run(&config);
+        assert!(!succeeded, "{config} was accepted");
         assert!(error.contains(says) && !error.contains("panicked"), "{config}: {error}");
     }
 }
 
-/// Without `fleet` in its configuration a gateway takes no part in the group: no thread of it runs.
+/// Without `fleet` in its configuration a gateway takes no part in the fleet group: the group's thread does not run.
 #[test]
 fn the_fleet_group_is_off_unless_it_is_configured() {
     let (server, discovery) = (Server::start(), Discovery::start());
     let gateway = Gateway::start(&Setup::with(&[&server]), &discovery);
-    // A thread has its name once it has had its first turn.
-    until("the others have their names", || gateway.threads().iter().any(|t| t == "signals"));
+    // A thread gets its name when it first runs.
+    wait_until("the others have their names", || gateway.threads().iter().any(|t| t == "signals"));
     let threads = gateway.threads();
     assert!(!threads.iter().any(|t| t == "fleet"), "{threads:?}");
     assert!(gateway.client().get("/_stats").is_some_and(|m| !m.body.contains("fleet")));
