--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -1,11 +1,11 @@
-//! The list of servers in discovery's form.
+//! The list of servers in the format of service discovery.
 
-use crate::facts::{Facts, Res, show};
+use crate::json::{JsonObject, Res, show};
 use curlewfront::State;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The whole list of servers, or the entries that changed.
+/// The full list of servers, or the entries that changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Members {
     pub version: u64,
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub id: String,
-    /// None only where the server is gone: it needs no address then.
+    /// `None` only for a server that is gone, which needs no address.
     pub addr: Option<SocketAddr>,
     pub zone: String,
     pub cell: u32,
@@ -29,34 +29,34 @@
     pub fn read(value: &Value) -> Res<Members> {
         let object =
             value.as_object().ok_or_else(|| format!("expected a list, found {}", show(Some(value))))?;
-        let f = Facts(object, String::new());
-        let servers = f.each("servers")?.iter().map(member).collect::<Res<_>>()?;
-        Ok(Members { version: f.whole("version")?, full: f.truth("full")?, servers })
+        let list = JsonObject(object, String::new());
+        let servers = list.objects("servers")?.iter().map(member).collect::<Res<_>>()?;
+        Ok(Members { version: list.u64("version")?, full: list.bool("full")?, servers })
     }
 }
 
-fn member(f: &Facts) -> Res<Member> {
-    let state = match f.word("state")? {
+fn member(object: &JsonObject) -> Res<Member> {
+    let state = match object.string("state")? {
         "Ready" => State::Up,
         "Terminating" => State::Draining,
         "Gone" => State::Gone,
-        _ => return Err(f.bad("state", "Ready, Terminating or Gone")),
+        _ => return Err(object.error("state", "Ready, Terminating or Gone")),
     };
-    let addr: Option<SocketAddr> = f.word("addr")?.parse().ok();
+    let addr: Option<SocketAddr> = object.string("addr")?.parse().ok();
     if addr.is_none() && state != State::Gone {
-        return Err(f.bad("addr", "an address and port"));
+        return Err(object.error("addr", "an address and port"));
     }
-    let id = f.word("id")?.to_string();
+    let id = object.string("id")?.to_string();
     if id.is_empty() {
-        return Err(f.bad("id", "a name"));
+        return Err(object.error("id", "a name"));
     }
     Ok(Member {
         id,
         addr,
-        zone: f.word("zone")?.to_string(),
-        cell: f.small("cell")?,
+        zone: object.string("zone")?.to_string(),
+        cell: object.u32("cell")?,
         state,
-        weight: f.at("weight").map_or(Ok(1.0), |_| f.number("weight"))?,
-        started_ms: f.whole("started_ms")?,
+        weight: object.get("weight").map_or(Ok(1.0), |_| object.f64("weight"))?,
+        started_ms: object.u64("started_ms")?,
     })
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,35 +1,36 @@
-//! The settings object that an instance is given at its start, on the simulator's wire as in a gateway's configuration.
+//! Reads the `settings` object of a gateway's configuration, which the wire protocol of the simulator carries as well.
 
-use crate::facts::{Facts, Res};
+use crate::json::{JsonObject, Res};
 use curlewfront::{Class, Effect, Group, Plan, Settings};
 use serde_json::{Map, Value};
 
-pub fn settings(facts: &Map<String, Value>) -> Res<Settings> {
-    let f = Facts(facts, String::new());
-    let (allow, rules, family) = (f.inner("permissions")?, f.inner("rules")?, f.inner("familyInfo")?);
+pub fn settings(object: &Map<String, Value>) -> Res<Settings> {
+    let object = JsonObject(object, String::new());
+    let (permissions, rules, family) =
+        (object.object("permissions")?, object.object("rules")?, object.object("familyInfo")?);
     Ok(Settings {
-        balancers: f.small("balancers")?,
-        index: f.small("index")?,
-        classes: f.each("classes")?.iter().map(class).collect::<Res<_>>()?,
-        plans: f.each("tiersOfService")?.iter().map(plan).collect::<Res<_>>()?,
-        ask_for_list: match f.word("membershipMode")? {
+        balancers: object.u32("balancers")?,
+        index: object.u32("index")?,
+        classes: object.objects("classes")?.iter().map(class).collect::<Res<_>>()?,
+        plans: object.objects("tiersOfService")?.iter().map(plan).collect::<Res<_>>()?,
+        ask_for_list: match object.string("membershipMode")? {
             "on_request" => true,
             "pushed" | "" => false,
-            _ => return Err(f.bad("membershipMode", "pushed or on_request")),
+            _ => return Err(object.error("membershipMode", "pushed or on_request")),
         },
-        meter_us: family.whole("meterUs")?,
-        trued_up: family.truth("truedUp")?,
-        tick_us: f.whole("granularityUs")?,
-        marks_retry: f.inner("clients")?.truth("marksRetry")?,
-        may_cancel: allow.truth("mayCancel")?,
-        retry_after: allow.truth("retryAfter")?,
-        max_retry_after_us: allow.whole("maxRetryAfterUs")?,
-        attempts_cap: allow.small("attemptsCap")?,
-        ask_within_us: rules.whole("askWithinUs")?,
-        cold_from: rules.number("coldFrom")?,
-        cold_us: rules.whole("coldUs")?,
-        fall_multiple: rules.number("fallMultiple")?,
-        fall_us: rules.whole("fallUs")?,
+        meter_us: family.u64("meterUs")?,
+        trued_up: family.bool("truedUp")?,
+        tick_us: object.u64("granularityUs")?,
+        marks_retry: object.object("clients")?.bool("marksRetry")?,
+        may_cancel: permissions.bool("mayCancel")?,
+        retry_after: permissions.bool("retryAfter")?,
+        max_retry_after_us: permissions.u64("maxRetryAfterUs")?,
+        attempts_cap: permissions.u32("attemptsCap")?,
+        ask_within_us: rules.u64("askWithinUs")?,
+        cold_from: rules.f64("coldFrom")?,
+        cold_us: rules.u64("coldUs")?,
+        fall_multiple: rules.f64("fallMultiple")?,
+        fall_us: rules.u64("fallUs")?,
         services: 1,
         starts_empty: false,
         retry: None,
@@ -38,36 +39,36 @@
     })
 }
 
-fn class(c: &Facts) -> Res<Class> {
+fn class(object: &JsonObject) -> Res<Class> {
     Ok(Class {
-        aim_us: c.whole("aimUs")?,
-        deadline_us: c.whole("deadlineUs")?,
-        late_worth: c.number("lateWorth")?,
-        effect: match c.word("effect")? {
+        aim_us: object.u64("aimUs")?,
+        deadline_us: object.u64("deadlineUs")?,
+        late_worth: object.f64("lateWorth")?,
+        effect: match object.string("effect")? {
             "repeatable" => Effect::Repeatable,
             "once" => Effect::Once,
             "by_key" => Effect::ByKey {
-                window_us: c.whole("windowUs")?,
-                group: match c.word("group")? {
+                window_us: object.u64("windowUs")?,
+                group: match object.string("group")? {
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     "cell" => Group::Cell,
-                    _ => return Err(c.bad("group", "all, zone or cell")),
+                    _ => return Err(object.error("group", "all, zone or cell")),
                 },
             },
-            _ => return Err(c.bad("effect", "repeatable, by_key or once")),
+            _ => return Err(object.error("effect", "repeatable, by_key or once")),
         },
     })
 }
 
-fn plan(p: &Facts) -> Res<Plan> {
+fn plan(object: &JsonObject) -> Res<Plan> {
     Ok(Plan {
-        rate: p.number("unitsPerS")?,
-        burst: p.number("depth")?,
-        at_once: p.small("atOnce")?,
-        ceiling_rate: p.number("capRate")?,
-        ceiling_burst: p.number("capDepth")?,
-        over_worth: p.number("overWorth")?,
-        over_cost: p.number("excessCost")?,
+        rate: object.f64("unitsPerS")?,
+        burst: object.f64("depth")?,
+        at_once: object.u32("atOnce")?,
+        ceiling_rate: object.f64("capRate")?,
+        ceiling_burst: object.f64("capDepth")?,
+        over_worth: object.f64("overWorth")?,
+        over_cost: object.f64("excessCost")?,
     })
 }
