--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -68,7 +68,7 @@
     }
 
     /// The keys that differ in `other` and take effect only after a restart.
-    pub fn fixed_that_differ(&self, other: &Config) -> Vec<&'static str> {
+    pub fn changed_keys_needing_restart(&self, other: &Config) -> Vec<&'static str> {
         let same = [
             ("name", self.name == other.name),
             ("listen", self.listen == other.listen),
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -64,14 +64,14 @@
     assert_eq!(first.discovery.to_string(), "127.0.0.8:8500");
     assert_eq!(again.discovery.to_string(), "127.0.0.2:8500");
     assert_eq!(again.listen, first.listen, "that one stays the variable's");
-    assert!(first.fixed_that_differ(&again).is_empty());
+    assert!(first.changed_keys_needing_restart(&again).is_empty());
     let mut value = good();
     value.as_object_mut().expect("an object").remove("discovery");
     value["limits"]["sockets"] = json!(100);
     std::fs::write(&path, value.to_string()).expect("written");
     let without = Config::reload(env).expect("good");
     assert_eq!(without.discovery.to_string(), "127.0.0.8:8500");
-    assert_eq!(first.fixed_that_differ(&without), ["limits"]);
+    assert_eq!(first.changed_keys_needing_restart(&without), ["limits"]);
     std::fs::remove_file(&path).expect("removed");
 }
 
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -51,7 +51,7 @@
             return slog::error!(shared.log, "new configuration refused, the old one stays"; "why" => why);
         }
     };
-    let keys = shared.config.fixed_that_differ(&config).join(", ");
+    let keys = shared.config.changed_keys_needing_restart(&config).join(", ");
     if !keys.is_empty() {
         slog::warn!(shared.log, "of the new configuration these take a new start"; "keys" => keys);
     }
