--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,9 +1,9 @@
-//! What a gateway's configuration may look like, and what is said of one that is wrong.
+//! Valid configurations of a gateway, and the errors for invalid ones.
 
 use curlewfront_config::{Config, Members};
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid() -> Value {
     json!({
         "name": "n3", "listen": "127.0.0.1:9000", "discovery": "127.0.0.2:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn a_whole_one_is_read() {
-    let config = read(&good()).expect("it is good");
+fn a_complete_configuration_is_read() {
+    let config = read(&valid()).expect("valid");
     assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
     assert_eq!((config.memory_mb, config.sockets), (64, 512));
     assert_eq!((config.conn_idle_us, config.dial_timeout_us), (9_000_000, 100_000));
@@ -38,20 +38,20 @@
 }
 
 #[test]
-fn what_is_left_out_has_a_default() {
-    let mut value = good();
+fn absent_keys_have_defaults() {
+    let mut value = valid();
     for key in ["limits", "known", "seed", "name"] {
         value.as_object_mut().expect("an object").remove(key);
     }
     value["settings"].as_object_mut().expect("an object").remove("permissions");
-    let config = read(&value).expect("it is good");
+    let config = read(&value).expect("valid");
     assert!(config.memory_mb > 0 && config.sockets > 0 && config.known.servers.is_empty());
     assert!(config.conn_idle_us > 0 && config.dial_timeout_us > 0);
 }
 
-/// The variable is that of the start: it must not hide what the file says since.
+/// On a reload the environment variable, which still has the value of the start, must not hide a change of the file.
 #[test]
-fn read_anew_the_discovery_of_the_file_goes_before_the_variable() {
+fn on_reload_the_discovery_of_the_file_takes_precedence_over_the_variable() {
     let path = std::env::temp_dir().join(format!("curlewfront-reload-{}.json", std::process::id()));
     let env = |name: &str| match name {
         "EDGE_CONFIG" => path.to_str().map(str::to_string),
@@ -59,38 +59,38 @@
         "EDGE_LISTEN" => Some("127.0.0.9:1".to_string()),
         _ => None,
     };
-    std::fs::write(&path, good().to_string()).expect("written");
-    let (first, again) = (Config::load(env).expect("good"), Config::reload(env).expect("good"));
+    std::fs::write(&path, valid().to_string()).expect("written");
+    let (first, reloaded) = (Config::load(env).expect("valid"), Config::reload(env).expect("valid"));
     assert_eq!(first.discovery.to_string(), "127.0.0.8:8500");
-    assert_eq!(again.discovery.to_string(), "127.0.0.2:8500");
-    assert_eq!(again.listen, first.listen, "that one stays the variable's");
-    assert!(first.changed_keys_needing_restart(&again).is_empty());
-    let mut value = good();
+    assert_eq!(reloaded.discovery.to_string(), "127.0.0.2:8500");
+    assert_eq!(reloaded.listen, first.listen, "the variable still takes precedence for listen");
+    assert!(first.changed_keys_needing_restart(&reloaded).is_empty());
+    let mut value = valid();
     value.as_object_mut().expect("an object").remove("discovery");
     value["limits"]["sockets"] = json!(100);
     std::fs::write(&path, value.to_string()).expect("written");
-    let without = Config::reload(env).expect("good");
+    let without = Config::reload(env).expect("valid");
     assert_eq!(without.discovery.to_string(), "127.0.0.8:8500");
     assert_eq!(first.changed_keys_needing_restart(&without), ["limits"]);
     std::fs::remove_file(&path).expect("removed");
 }
 
 #[test]
-fn variables_go_before_the_file() {
+fn variables_take_precedence_over_the_file() {
     let env = |name: &str| match name {
         "EDGE_LISTEN" => Some("127.0.0.9:1".to_string()),
         "EDGE_NAME" => Some("other".to_string()),
         _ => None,
     };
-    let config = Config::read(&good().to_string(), env).expect("it is good");
+    let config = Config::read(&valid().to_string(), env).expect("valid");
     assert_eq!((config.listen.to_string().as_str(), config.name.as_str()), ("127.0.0.9:1", "other"));
-    let error = Config::read(&good().to_string(), |_| Some("nowhere".into())).expect_err("no address");
+    let error = Config::read(&valid().to_string(), |_| Some("nowhere".into())).expect_err("no address");
     assert!(error.contains("EDGE_LISTEN") && error.contains("nowhere"), "{error}");
 }
 
-/// What is said names the key at fault.
+/// The error names the invalid key.
 #[test]
-fn a_bad_value_is_named() {
+fn the_error_for_an_invalid_value_names_its_key() {
     let cases: [(&str, Value, &str); 25] = [
         ("/listen", json!("here"), "listen"),
         ("/listen", json!(null), "listen"),
@@ -118,15 +118,16 @@
         ("/settings/permissions", json!(1), "settings.permissions"),
         ("/settings/permissions/dialTimeoutUs", json!("x"), "dialTimeoutUs"),
     ];
-    for (at, bad, says) in cases {
-        let mut value = good();
+    for (at, bad, expected) in cases {
+        let mut value = valid();
         *value.pointer_mut(at).expect("a key") = bad;
         let error = read(&value).expect_err(at);
-        assert!(error.contains(says), "{at}: {error:?} does not say {says:?}");
+        assert!(error.contains(expected), "{at}: {error:?} does not contain {expected:?}");
     }
-    let twice = json!([good()["settings"]["tiersOfService"][0], good()["settings"]["tiersOfService"][0]]);
-    let mut value = good();
-    value["settings"]["tiersOfService"] = twice;
+    let duplicate =
+        json!([valid()["settings"]["tiersOfService"][0], valid()["settings"]["tiersOfService"][0]]);
+    let mut value = valid();
+    value["settings"]["tiersOfService"] = duplicate;
     assert!(read(&value).expect_err("one name for two").contains("tiersOfService"));
     assert!(Config::read("{", |_| None).expect_err("no JSON").contains("not JSON"));
     assert!(Config::load(|_| None).expect_err("no file").contains("EDGE_CONFIG"));
@@ -136,20 +137,20 @@
 #[test]
 fn a_server_that_is_gone_needs_no_address() {
     let line = json!({"version": 2, "full": false, "servers": [{"id": "s-1", "state": "Gone"}]});
-    let members = Members::read(&line).expect("it is good");
+    let members = Members::read(&line).expect("valid");
     assert!(members.servers[0].addr.is_none() && !members.full);
 }
 
 #[test]
-fn the_fleet_object_is_checked_key_by_key_and_off_when_it_is_not_there() {
-    assert!(read(&good()).expect("good").fleet.is_none());
-    let mut on = good();
-    on["fleet"] = json!({
+fn the_fleet_object_is_optional_and_each_key_is_checked() {
+    assert!(read(&valid()).expect("valid").fleet.is_none());
+    let mut with_fleet = valid();
+    with_fleet["fleet"] = json!({
         "installation": "here", "listen": "127.0.0.1:7300", "control": "127.0.0.1:7301", "dir": "/var/lib/curlewfront",
         "voters": [{"name": "n1", "addr": "10.0.0.1:7300"}, {"name": "n2", "addr": "10.0.0.2:7300"},
                    {"name": "n3", "addr": "10.0.0.3:7300"}],
     });
-    let fleet = read(&on).expect("good").fleet.expect("on");
+    let fleet = read(&with_fleet).expect("valid").fleet.expect("a fleet");
     assert!(fleet.votes("n3") && !fleet.votes("n4"));
     assert_eq!((fleet.election_us, fleet.lease_us, fleet.compact_after), (1_000_000, 6_000_000, 4096));
     let bad = [
@@ -163,16 +164,17 @@
         ("/fleet/voters/1/addr", json!("x"), "fleet.voters[1].addr"),
         ("/name", json!(""), "name"),
     ];
-    for (at, value, says) in bad {
-        let mut one = on.clone();
-        *one.pointer_mut(at).expect("there") = value.clone();
-        let error = read(&one).expect_err("refused");
-        assert!(error.starts_with(says), "{at} {value}: {error}");
+    for (at, value, expected) in bad {
+        let mut config = with_fleet.clone();
+        *config.pointer_mut(at).expect("there") = value.clone();
+        let error = read(&config).expect_err("refused");
+        assert!(error.starts_with(expected), "{at} {value}: {error}");
     }
-    for (key, value, says) in [("electionMs", 10, "fleet.electionMs"), ("leaseMs", 1500, "fleet.leaseMs")] {
-        let mut one = on.clone();
-        one["fleet"][key] = json!(value);
-        let error = read(&one).expect_err("refused");
-        assert!(error.starts_with(says), "{key} {value}: {error}");
+    for (key, value, expected) in [("electionMs", 10, "fleet.electionMs"), ("leaseMs", 1500, "fleet.leaseMs")]
+    {
+        let mut config = with_fleet.clone();
+        config["fleet"][key] = json!(value);
+        let error = read(&config).expect_err("refused");
+        assert!(error.starts_with(expected), "{key} {value}: {error}");
     }
 }
