--- a/crates/bench-host/src/main.rs
+++ b/crates/bench-host/src/main.rs
@@ -1,5 +1,5 @@
-//! Speaks the simulator's wire on standard input and output and hands each instance's events to a decider
-//! of its own. Translation only: no decision is made here.
+//! Speaks the simulator's wire protocol on standard input and output, and passes the events of each gateway instance to
+//! a `Decider` of its own. This program only translates and makes no decisions.
 
 mod wire;
 
