--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -120,7 +120,8 @@
 }
 
 /// Runs the corpus of the answer parser over the gateway's sockets: a 200 only with the whole body, and no request that
-/// may have run is sent again. Answers to this gateway carry no attempt names, so the cases that need them are left out.
+/// may have run is sent again. Answers to this gateway carry no attempt ids, so the cases in which an answer belongs to
+/// another attempt, or lacks its id, are left out.
 #[test]
 fn the_corpus_of_answers_is_served_whole_or_not_at_all() {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../net/tests/corpus/answers");
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -385,7 +385,7 @@
         assert_eq!(gateway.client().get("/_health").map(|m| m.status()), Some(200));
     }
     let between = (answers.load(Ordering::SeqCst) - before) / 20;
-    // 600 to 2,700 with the bound, 43,000 and more without it.
+    // 600 to 2,700 where busy connections pause for the others, 43,000 and more where they do not.
     assert!(between < 10_000, "{between} answers to the flood for each to the other client");
 }
 
@@ -533,7 +533,7 @@
         assert_eq!(often.request(&post(1500, "x")).status(), 200);
     }
     std::thread::sleep(Duration::from_millis(1700));
-    assert!(gateway.descriptors() >= descriptors_before + 21, "they stay open for 2 s");
+    assert!(gateway.descriptors() >= descriptors_before + 21, "closed in less than 2 s");
     wait_until("those are closed", || gateway.descriptors() < descriptors_before + 10);
     assert!(once.iter_mut().all(Client::is_closed));
     assert_eq!(often.request(&post(1500, "x")).status(), 200);
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -20,8 +20,8 @@
 #[test]
 fn a_bad_configuration_is_reported_and_ends_the_start() {
     let settings = r#"{"balancers":1,"classes":[{"name":"v","aimUs":1,"deadlineUs":2,"effect":"once"}],"tiersOfService":[{"name":"t"}]}"#;
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = taken.local_addr().map(|a| (taken, a)).expect("bound");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let taken_addr = listener.local_addr().expect("bound");
     let cases = [
         ("{".to_string(), "not JSON"),
         ("{}".to_string(), "listen"),
@@ -31,14 +31,14 @@
             "settings.balancers",
         ),
         (
-            format!(r#"{{"listen":"{}","discovery":"127.0.0.1:1","settings":{settings}}}"#, taken.1),
+            format!(r#"{{"listen":"{}","discovery":"127.0.0.1:1","settings":{settings}}}"#, taken_addr),
             "cannot listen",
         ),
     ];
-    for (config, says) in cases {
+    for (config, expected) in cases {
         let (succeeded, error) = run(&config);
         assert!(!succeeded, "{config} was accepted");
-        assert!(error.contains(says) && !error.contains("panicked"), "{config}: {error}");
+        assert!(error.contains(expected) && !error.contains("panicked"), "{config}: {error}");
     }
 }
 
