--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,8 +1,8 @@
-//! The gateway before its clients: reads the headers that its requests carry, and hands them to the module.
+//! The gateway towards its clients: reads the headers of their requests and hands the requests to the decision actor.
 
-use crate::gate::Gate;
-use crate::messages::{Asked, Told};
+use crate::messages::{ClientRequest, DecisionMessage};
 use crate::request;
+use crate::shared::Shared;
 use net::Micros;
 use net::door::{Answer, Desk, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds, Framing};
@@ -10,27 +10,31 @@
 use net::pool::Passage;
 use std::sync::Arc;
 
-/// Of a message, a client's or a server's.
+/// Size limits in bytes of a client's or a server's message.
 pub const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 64 * 1024 };
 
-/// Answered here: whether the list is known, and what the module last said of itself.
+/// Answered by the gateway itself: whether a list of servers is known.
 const HEALTH: &str = "/_health";
+/// Answered by the gateway itself: the figures that the decision actor last published.
 const STATS: &str = "/_stats";
 
-/// A client is owed an error or a close within 3 s.
+/// Time for the first request of a connection. A client is owed an error or a close within 3 s.
 const FIRST_US: Micros = 2_000_000;
+/// Time to send a request that has begun.
 const READ_US: Micros = 2_000_000;
 const WRITE_US: Micros = 5_000_000;
+/// Time that a connection may be idle after its only request so far.
 const ONCE_IDLE_US: Micros = 2_100_000;
+/// Time that a connection may be idle after several requests.
 const IDLE_US: Micros = 60_000_000;
 
-/// What a connection is told that is ended before it has brought a request.
-const UNHEARD: Bad = Bad { status: 503, what: "ended before a request came" };
+/// Sent on a connection that is closed before it has brought a request.
+const NO_REQUEST_YET: Bad = Bad { status: 503, what: "ended before a request came" };
 
-pub struct Front(pub Arc<Gate>);
+pub struct ClientHandler(pub Arc<Shared>);
 
-impl Desk for Front {
-    type Ask = Box<Asked>;
+impl Desk for ClientHandler {
+    type Ask = Box<ClientRequest>;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
@@ -46,34 +50,34 @@
         }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Box<Asked>>, Bad> {
-        let gate = &self.0;
+    fn head(&self, head: &http::Request) -> Result<Heard<Box<ClientRequest>>, Bad> {
+        let shared = &self.0;
         if head.target != HEALTH && head.target != STATS {
-            return request::read(gate, head).map(|asked| Heard::Take(Box::new(asked)));
+            return request::read(shared, head).map(|request| Heard::Take(Box::new(request)));
         }
         if head.framing != Framing::Length(0) {
-            return Err(Bad { status: 400, what: "a body where none belongs" });
+            return Err(Bad { status: 400, what: "unexpected body" });
         }
         Ok(Heard::Say(if head.target == STATS {
-            Answer::text(200, format!("{}\n", gate.stats()))
-        } else if gate.ready() {
+            Answer::text(200, format!("{}\n", shared.stats()))
+        } else if shared.ready() {
             Answer::text(200, "ready\n")
         } else {
             Answer::text(503, "no list yet\n")
         }))
     }
 
-    fn asked(&self, id: u64, mut asked: Box<Asked>, body: Held, reply: Reply) {
-        // `until` holds the time allowed up to here; it counts from the last byte.
-        asked.until += self.0.room.clock.now();
-        asked.id = id;
-        asked.client = Some(reply);
-        asked.passage = Passage { head: std::mem::take(&mut asked.passage.head), body };
-        self.0.module.post(Told::Asked(asked));
+    fn asked(&self, id: u64, mut request: Box<ClientRequest>, body: Held, reply: Reply) {
+        // Up to here `until` is the time allowed, which counts from the last byte of the request.
+        request.until += self.0.room.clock.now();
+        request.id = id;
+        request.client = Some(reply);
+        request.passage = Passage { head: std::mem::take(&mut request.passage.head), body };
+        self.0.decisions.post(DecisionMessage::Request(request));
     }
 
     fn withdrawn(&self, id: u64) {
-        self.0.module.post(Told::Withdrawn { id });
+        self.0.decisions.post(DecisionMessage::Withdrawn { id });
     }
 
     fn draining(&self) -> bool {
@@ -81,15 +85,15 @@
     }
 
     fn refusal(&self, bad: &Bad) -> Answer {
-        let line = if bad.what.is_empty() { "" } else { "\n" };
-        Answer::text(bad.status, format!("{}{line}", bad.what))
+        let line_end = if bad.what.is_empty() { "" } else { "\n" };
+        Answer::text(bad.status, format!("{}{line_end}", bad.what))
     }
 
     fn unheard(&self) -> Option<Bad> {
-        Some(UNHEARD)
+        Some(NO_REQUEST_YET)
     }
 
     fn crowded(&self) {
-        self.0.module.post(Told::Crowded);
+        self.0.decisions.post(DecisionMessage::DescriptorsExhausted);
     }
 }
