--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -12,10 +12,10 @@
 pub fn read(shared: &Shared, head: &http::Request) -> Result<ClientRequest, Bad> {
     let bad = |what| Bad { status: 400, what };
     if !matches!(head.method, "GET" | "POST" | "PUT" | "PATCH" | "DELETE") {
-        return Err(Bad { status: 405, what: "method not supported" });
+        return Err(Bad { status: 405, what: "method not served" });
     }
     if !head.target.starts_with('/') {
-        return Err(bad("target is not a path"));
+        return Err(bad("target is no path"));
     }
     let text = |name: &str| {
         http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim)
