--- a/crates/bench-host/src/wire.rs
+++ b/crates/bench-host/src/wire.rs
@@ -63,7 +63,7 @@
             "dial_failed" => Outcome::ConnectFailed,
             "dropped" => Outcome::Reset,
             "revoked" => Outcome::Cancelled,
-            "unused" => Outcome::Moot,
+            "unused" => Outcome::NotSent,
             _ => return Err(self.bad(at, "the name of an ending")),
         })
     }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -522,7 +522,7 @@
             open.tries.push(Try { server, sent_at: self.now, out: true, placed: None });
             open.closed = true;
             out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US)));
-            return self.back.push_back((id, attempt, Outcome::Moot));
+            return self.back.push_back((id, attempt, Outcome::NotSent));
         }
         let until = self.now.saturating_add(timeout_us).min(open.until);
         if attempt == 0 {
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -110,12 +110,12 @@
         let several = self.fleets.len() > 1;
         let fleet = &mut self.fleets[s.fleet];
         let load = &mut fleet.load;
-        let bad = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot);
-        if outcome == Outcome::Ok || (outcome != Outcome::Moot && taken > s.latency) {
+        let bad = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent);
+        if outcome == Outcome::Ok || (outcome != Outcome::NotSent && taken > s.latency) {
             s.latency = s.known(self.now, s.latency, load.mean);
             s.latency += (taken - s.latency) * LEARN;
         }
-        if matches!(outcome, Outcome::Cancelled | Outcome::Moot) {
+        if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             return;
         }
         if !bad {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -188,7 +188,7 @@
     Reset,
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// The server says that the request itself is at fault: any other would say the same.
     Rejected,
 }
@@ -196,7 +196,7 @@
 impl Outcome {
     /// The attempt is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
