--- a/crates/proxy/src/book.rs
+++ b/crates/proxy/src/book.rs
@@ -406,7 +406,7 @@
                 zone: if trial { zone + TRIAL_ZONES } else { zone },
                 state: if up { Standing::Up } else { Standing::Draining },
                 service,
-                near: if trial { TRIAL_NEAR } else { self.reach(service, near) },
+                distance: if trial { TRIAL_NEAR } else { self.reach(service, near) },
                 part,
                 cold_rate,
                 cold_until_us: if cold { cold_until } else { 0 },
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -396,7 +396,7 @@
             zones: zones | trials,
             zones_again: zones,
             attempts: route.attempts,
-            reach: self.reach(route, service, zones),
+            max_distance: self.reach(route, service, zones),
             booking,
             ..NewRequest::default()
         };
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -68,7 +68,7 @@
         };
         let tried = |server: u64| r.attempts.iter().any(|a| a.server == server);
         let mut last_resort: Option<((bool, bool, bool), u64)> = None;
-        for tier in fleet.tiers.iter_mut().take_while(|t| t.near <= r.asked.reach) {
+        for tier in fleet.tiers.iter_mut().take_while(|t| t.distance <= r.asked.max_distance) {
             let (familiar, many) = (tier.familiar(now), tier.up.len());
             let up = &mut tier.up;
             let lot = rng.usize(0..many.max(1));
@@ -129,7 +129,7 @@
         let aim = self.set.classes.iter().map(|c| c.aim_us).max().unwrap_or(0);
         let aim = if several { fleet.aim } else { aim };
         load.ended(self.now, aim, server, outcome, bad || late);
-        let tier = fleet.tier(s.near);
+        let tier = fleet.tier(s.distance);
         let (familiar, many) = (tier.familiar(self.now), tier.up.len());
         let place =
             (unwell && familiar < many).then(|| tier.up[..familiar].iter().position(|k| *k == server));
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -16,10 +16,10 @@
         self.load.at(self.strength, set.balancers)
     }
 
-    pub fn tier(&mut self, near: u32) -> &mut Tier {
-        let place = self.tiers.partition_point(|t| t.near < near);
-        if self.tiers.get(place).is_none_or(|t| t.near != near) {
-            self.tiers.insert(place, Tier { near, ..Tier::default() });
+    pub fn tier(&mut self, distance: u32) -> &mut Tier {
+        let place = self.tiers.partition_point(|t| t.distance < distance);
+        if self.tiers.get(place).is_none_or(|t| t.distance != distance) {
+            self.tiers.insert(place, Tier { distance, ..Tier::default() });
         }
         &mut self.tiers[place]
     }
@@ -67,7 +67,7 @@
             let was_metered = s.metered(self.now, &self.set);
             (s.zone, s.cell, s.up, s.up_since) = (e.zone, e.cell, e.state == State::Up, e.up_since_us);
             s.part = if e.part.is_finite() { e.part.max(0.0) } else { 1.0 };
-            (s.near, s.cold_rate, s.told_cold_until) = (e.near, e.cold_rate, e.cold_until_us);
+            (s.distance, s.cold_rate, s.told_cold_until) = (e.distance, e.cold_rate, e.cold_until_us);
             if s.metered(self.now, &self.set) && !was_metered {
                 // All gateways learn of it at once, and are not to send it their first at once.
                 s.token_at = self.now + self.rng.u64(0..=s.token_us());
@@ -76,12 +76,12 @@
         self.servers.retain(|_, s| s.up || s.out > 0);
         for (n, fleet) in self.fleets.iter_mut().enumerate() {
             for t in &mut fleet.tiers {
-                let here = |s: &Server| s.up && (s.fleet, s.near) == (n, t.near);
+                let here = |s: &Server| s.up && (s.fleet, s.distance) == (n, t.distance);
                 t.up.retain(|k| self.servers.get(k).is_some_and(here));
             }
         }
         for (k, s) in self.servers.iter().filter(|(_, s)| s.up) {
-            let up = &mut self.fleets[s.fleet].tier(s.near).up;
+            let up = &mut self.fleets[s.fleet].tier(s.distance).up;
             if !up.contains(k) {
                 up.insert(self.rng.usize(0..=up.len()), *k); // all places are as likely
             }
--- a/src/decide/records.rs
+++ b/src/decide/records.rs
@@ -88,7 +88,7 @@
 /// Servers that are as near as each other.
 #[derive(Default)]
 pub struct Tier {
-    pub near: u32,
+    pub distance: u32,
     /// In an order that `pick` shuffles as it draws.
     pub up: Vec<u64>,
     /// What they are worth in warm ones, as counted last; what was sent lately, as a moving sum.
@@ -152,7 +152,7 @@
     pub fleet: usize,
     pub zone: u32,
     pub cell: u32,
-    pub near: u32,
+    pub distance: u32,
     pub part: f64,
     pub up: bool,
     pub up_since: Micros,
--- a/src/decide/tries.rs
+++ b/src/decide/tries.rs
@@ -38,7 +38,7 @@
         let c = self.customers.get_mut(&r.asked.customer).expect("holds a request");
         let s = self.servers.get_mut(&server).expect("picked");
         let fleet = &mut self.fleets[r.fleet()];
-        let tier = fleet.tier(s.near);
+        let tier = fleet.tier(s.distance);
         (tier.sent, tier.sent_at) = (tier.lately_sent(self.now) + 1.0, self.now);
         if r.attempts.is_empty() {
             if self.set.plans[c.plan].ceiling_rate > 0.0 {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -129,7 +129,7 @@
     /// The fleet that it belongs to.
     pub service: u32,
     /// How far it is: those of a lower number are tried before those of a higher one.
-    pub near: u32,
+    pub distance: u32,
     /// The part of its work that is expected through this gateway, as a multiple of the even part.
     pub part: f64,
     /// Requests a second that this gateway may send it while it is cold; 0: as its ramp says.
@@ -149,7 +149,7 @@
             weight: 1.0,
             up_since_us: 0,
             service: 0,
-            near: 0,
+            distance: 0,
             part: 1.0,
             cold_rate: 0.0,
             cold_until_us: 0,
@@ -223,8 +223,8 @@
     pub zones_again: u64,
     /// Attempts at the most; 0: as many as the settings allow.
     pub attempts: u32,
-    /// It may go to no server whose `near` is above this.
-    pub reach: u32,
+    /// It may go to no server whose `distance` is above this.
+    pub max_distance: u32,
     /// The booking under which it came; 0: none.
     pub booking: u32,
 }
@@ -246,7 +246,7 @@
             zones: u64::MAX,
             zones_again: u64::MAX,
             attempts: 0,
-            reach: u32::MAX,
+            max_distance: u32::MAX,
             booking: 0,
         }
     }
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn farther_servers_get_what_nearer_ones_have_no_room_for() {
-    let list: Vec<Entry> = (1..=8).map(|k| Entry { near: u32::from(k > 2), ..up(k) }).collect();
+    let list: Vec<Entry> = (1..=8).map(|k| Entry { distance: u32::from(k > 2), ..up(k) }).collect();
     let mut g = gateway(settings(free()), &list);
     let sends = ask(&mut g, 0..50, request(0));
     // Three permits each over two gateways: each near one has its part out with two, then farther ones are sooner.
@@ -25,13 +25,13 @@
     assert!(sends.len() > 4 && sends[4..].iter().all(|s| *s > 2), "{sends:?}");
     // What may not go so far fills the near ones up to twice their part, then waits, though farther ones have room.
     let mut g = gateway(settings(free()), &list);
-    assert_eq!(ask(&mut g, 0..50, NewRequest { reach: 0, ..request(0) }).len(), 6);
+    assert_eq!(ask(&mut g, 0..50, NewRequest { max_distance: 0, ..request(0) }).len(), 6);
     assert!(!ask(&mut g, 50..53, request(0)).is_empty());
 }
 
 #[test]
 fn a_try_after_an_error_prefers_a_farther_server_to_the_same_one() {
-    let mut g = gateway(settings(free()), &[up(1), Entry { near: 3, ..up(2) }]);
+    let mut g = gateway(settings(free()), &[up(1), Entry { distance: 3, ..up(2) }]);
     assert_eq!(sent(&g.ask(request(1))), [1]);
     assert_eq!(sent(&g.back(answer(1, 0, 1, Outcome::Full))), [2]);
 }
