--- a/crates/proxy/src/book.rs
+++ b/crates/proxy/src/book.rs
@@ -407,7 +407,7 @@
                 state: if up { Standing::Up } else { Standing::Draining },
                 service,
                 distance: if trial { TRIAL_NEAR } else { self.reach(service, near) },
-                part,
+                share: part,
                 cold_rate,
                 cold_until_us: if cold { cold_until } else { 0 },
                 ..Entry::default()
--- a/crates/proxy/tests/book.rs
+++ b/crates/proxy/tests/book.rs
@@ -24,7 +24,7 @@
 
 fn parts(copy: &cluster::copy::Copy, id: &str) -> Vec<(String, f64)> {
     let mut of: Vec<(String, f64)> =
-        lists(SECOND, copy).into_iter().filter(|l| l.0 == id).map(|(_, zone, e)| (zone, e.part)).collect();
+        lists(SECOND, copy).into_iter().filter(|l| l.0 == id).map(|(_, zone, e)| (zone, e.share)).collect();
     of.dedup();
     of
 }
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -59,7 +59,7 @@
         // A server that turned slow must not fill up with our work.
         let even = fleet.load.permits / set.balancers as f64 * fleet.lift(set);
         let fits = |s: &Server| {
-            let room = (s.out as f64) < (MOST_HELD * even * s.part).max(1.0);
+            let room = (s.out as f64) < (MOST_HELD * even * s.share).max(1.0);
             room && (now >= s.token_at || !s.metered(now, set)) && r.allows(s, effect, now)
         };
         let cost = |s: &Server| {
@@ -94,7 +94,7 @@
             }
             let Some((_, server)) = found else { continue };
             let s = &servers[&server];
-            let faults = (tried(server), s.ill(now), s.out as f64 >= (even * s.part).max(1.0));
+            let faults = (tried(server), s.ill(now), s.out as f64 >= (even * s.share).max(1.0));
             if last_resort.is_none_or(|l| faults < l.0) {
                 last_resort = Some((faults, server));
             }
--- a/src/decide/cold.rs
+++ b/src/decide/cold.rs
@@ -33,7 +33,7 @@
     /// What it adds to its fleet, in warm servers of which this gateway has an even part: a cold one its
     /// ramp, or what its rate has out at once (Little's law), `each` being the time of an answer by permits.
     pub fn worth(&self, now: Micros, set: &Settings, each: f64) -> f64 {
-        let warm = self.ramp(now, set).unwrap_or(1.0) * self.part;
+        let warm = self.ramp(now, set).unwrap_or(1.0) * self.share;
         if self.metered(now, set) { (self.cold_rate * each).min(warm) } else { warm }
     }
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -66,7 +66,7 @@
             }
             let was_metered = s.metered(self.now, &self.set);
             (s.zone, s.cell, s.up, s.up_since) = (e.zone, e.cell, e.state == State::Up, e.up_since_us);
-            s.part = if e.part.is_finite() { e.part.max(0.0) } else { 1.0 };
+            s.share = if e.share.is_finite() { e.share.max(0.0) } else { 1.0 };
             (s.distance, s.cold_rate, s.told_cold_until) = (e.distance, e.cold_rate, e.cold_until_us);
             if s.metered(self.now, &self.set) && !was_metered {
                 // All gateways learn of it at once, and are not to send it their first at once.
--- a/src/decide/records.rs
+++ b/src/decide/records.rs
@@ -153,7 +153,7 @@
     pub zone: u32,
     pub cell: u32,
     pub distance: u32,
-    pub part: f64,
+    pub share: f64,
     pub up: bool,
     pub up_since: Micros,
     /// What was told of its being cold, and when it may be sent the next request then.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -131,7 +131,7 @@
     /// How far it is: those of a lower number are tried before those of a higher one.
     pub distance: u32,
     /// The part of its work that is expected through this gateway, as a multiple of the even part.
-    pub part: f64,
+    pub share: f64,
     /// Requests a second that this gateway may send it while it is cold; 0: as its ramp says.
     pub cold_rate: f64,
     /// Cold until then; 0: for `cold_us` from its start.
@@ -150,7 +150,7 @@
             up_since_us: 0,
             service: 0,
             distance: 0,
-            part: 1.0,
+            share: 1.0,
             cold_rate: 0.0,
             cold_until_us: 0,
         }
