--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -394,8 +394,8 @@
             units: self.tenants.draws(self.now, plan, nodes),
             service,
             zones: zones | trials,
-            zones_again: zones,
-            attempts: route.attempts,
+            retry_zones: zones,
+            max_attempts: route.attempts,
             max_distance: self.reach(route, service, zones),
             booking,
             ..NewRequest::default()
--- a/src/decide/tries.rs
+++ b/src/decide/tries.rs
@@ -13,7 +13,7 @@
 
     /// Whether the rules let a further attempt go to this server: its zone, and where repeats are dropped.
     pub(super) fn allows(&self, s: &Server, effect: Effect, now: Micros) -> bool {
-        let zones = if self.attempts.is_empty() { self.asked.zones } else { self.asked.zones_again };
+        let zones = if self.attempts.is_empty() { self.asked.zones } else { self.asked.retry_zones };
         if zones != 0 && zones != u64::MAX && (s.zone >= 64 || zones >> s.zone & 1 == 0) {
             return false;
         }
@@ -94,7 +94,7 @@
         let cost = if last == Outcome::Reset { reset } else { f64::from(last != Outcome::ConnectFailed) };
         let r = self.requests.get_mut(&id).expect("just seen");
         let (n, fleet) = (r.fleet(), &mut self.fleets[r.fleet()]);
-        let cap = if r.asked.attempts > 0 { r.asked.attempts } else { self.set.attempts_cap };
+        let cap = if r.asked.max_attempts > 0 { r.asked.max_attempts } else { self.set.attempts_cap };
         let once = self.set.classes[r.asked.class].effect == Effect::Once;
         let may = !(once && r.attempts.iter().any(|a| a.may_have_run));
         let next_by = self.now + fleet.load.mean as Micros;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -220,9 +220,9 @@
     /// Zones whose servers it may go to, a bit for each number under 64; 0, like all bits: any server.
     pub zones: u64,
     /// The same for its further attempts.
-    pub zones_again: u64,
+    pub retry_zones: u64,
     /// Attempts at the most; 0: as many as the settings allow.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// It may go to no server whose `distance` is above this.
     pub max_distance: u32,
     /// The booking under which it came; 0: none.
@@ -244,8 +244,8 @@
             repeat: false,
             service: 0,
             zones: u64::MAX,
-            zones_again: u64::MAX,
-            attempts: 0,
+            retry_zones: u64::MAX,
+            max_attempts: 0,
             max_distance: u32::MAX,
             booking: 0,
         }
