--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -33,8 +33,8 @@
         services: 1,
         starts_empty: false,
         retry: None,
-        loose_under: 0.0,
-        loose_burst: 0.0,
+        light_use_below: 0.0,
+        light_use_burst: 0.0,
     })
 }
 
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -128,13 +128,13 @@
     /// The part of its burst for this slice; more than the even one, as gateways seldom need it all at once.
     fn burst_here(&self, c: &Customer) -> f64 {
         let (s, burst) = (self.slice(c), self.set.plans[c.plan].burst);
-        let loose = if self.loose(c) { self.set.loose_burst } else { 0.0 };
+        let loose = if self.loose(c) { self.set.light_use_burst } else { 0.0 };
         (burst * s.max((c.spread as f64).powf(-BURST_SPLIT))).max(loose)
     }
 
     /// While the meter reads little use, many gateways would else refuse what the quota has room for.
     fn loose(&self, c: &Customer) -> bool {
-        self.meter_speaks(c) && c.used < self.set.loose_under
+        self.meter_speaks(c) && c.used < self.set.light_use_below
     }
 
     /// What a gateway may count on in a ceiling's store that it sees first now. One that starts again cannot
@@ -206,7 +206,7 @@
         self.refill(key);
         let sane = used >= 0.0 && used.is_finite();
         let Some(c) = self.customers.get_mut(&key).filter(|_| sane) else { return };
-        if self.set.loose_under > 0.0 && c.used <= FLOOD && used > FLOOD {
+        if self.set.light_use_below > 0.0 && c.used <= FLOOD && used > FLOOD {
             c.level = c.level.min(0.0); // what a calm reading let it save up is spent by now, elsewhere
         }
         // More use is believed at once, less over some periods: the reading is late, and room granted on
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -35,8 +35,8 @@
     pub starts_empty: bool,
     /// While the meter reads less than this part of a quota used, a customer may use so many units at once at any
     /// gateway; 0: off.
-    pub loose_under: f64,
-    pub loose_burst: f64,
+    pub light_use_below: f64,
+    pub light_use_burst: f64,
     /// Further attempts for each first one, how many may be saved up, what one after a reset costs; None: as usual.
     pub retry: Option<[f64; 3]>,
     /// Separate fleets of servers, numbered from 0; 0 and 1 both mean one.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -34,8 +34,8 @@
         services: 1,
         starts_empty: false,
         retry: None,
-        loose_under: 0.0,
-        loose_burst: 0.0,
+        light_use_below: 0.0,
+        light_use_burst: 0.0,
     }
 }
 
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -390,8 +390,12 @@
 fn each_reading_that_shows_room_lets_one_more_request_out_at_any_of_many_gateways() {
     // Ten a second over 85 gateways; here three are asked a second, at one gateway for a while.
     for (used, least, most) in [(0.6, 28, 30), (0.9, 0, 12)] {
-        let bounds =
-            Settings { balancers: 85, loose_under: 0.85, loose_burst: 4.0, ..settings(rate(10.0, 4.0)) };
+        let bounds = Settings {
+            balancers: 85,
+            light_use_below: 0.85,
+            light_use_burst: 4.0,
+            ..settings(rate(10.0, 4.0))
+        };
         let mut g = Gateway::with_servers(Settings { starts_empty: true, meter_us: 300 * MS, ..bounds }, 8);
         let mut through = 0;
         for id in 0..30 {
