--- a/crates/proxy/src/cramp.rs
+++ b/crates/proxy/src/cramp.rs
@@ -184,7 +184,7 @@
             let moved = (f64::from(part) - even) * taken_up;
             let kept = if h.booking.unused == Unused::Hold { whole(part, taken_up) } else { 0 };
             if first > 0 || moved != 0.0 {
-                holds.push(Hold { booking: h.number, service, first, kept, moved });
+                holds.push(Hold { booking: h.number, service, priority: first, reserved: kept, moved });
             }
         }
         holds
--- a/src/decide/booked.rs
+++ b/src/decide/booked.rs
@@ -29,7 +29,7 @@
         let (mut kept, mut used) = (0, 0);
         let mut open = Vec::new();
         for (h, limit) in fleet.holds.iter().zip(limits) {
-            kept += h.kept.min(limit).saturating_sub(out(h.booking));
+            kept += h.reserved.min(limit).saturating_sub(out(h.booking));
             used += limit.min(out(h.booking));
             if out(h.booking) < limit {
                 open.push(h.booking);
@@ -89,9 +89,9 @@
     /// all holds are cut alike.
     fn limits(&self, set: &Settings) -> Vec<u32> {
         let free = self.room(set);
-        let all: u32 = self.holds.iter().map(|h| h.first).sum();
+        let all: u32 = self.holds.iter().map(|h| h.priority).sum();
         let scale = if f64::from(all) > free { free / f64::from(all) } else { 1.0 };
-        self.holds.iter().map(|h| (f64::from(h.first) * scale) as u32).collect()
+        self.holds.iter().map(|h| (f64::from(h.priority) * scale) as u32).collect()
     }
 
     /// One more is out; or, `back`, one less.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -259,9 +259,9 @@
     pub booking: u32,
     pub service: u32,
     /// While fewer of its requests than this are out here, they go before all others.
-    pub first: u32,
+    pub priority: u32,
     /// So many of these are left free for them while they are not used.
-    pub kept: u32,
+    pub reserved: u32,
     /// This gateway's part less the even one.
     pub moved: f64,
 }
--- a/tests/booked.rs
+++ b/tests/booked.rs
@@ -19,7 +19,7 @@
     acts
 }
 
-const HELD: Hold = Hold { booking: 3, service: 0, first: 4, kept: 4, moved: 0.0 };
+const HELD: Hold = Hold { booking: 3, service: 0, priority: 4, reserved: 4, moved: 0.0 };
 
 fn other(id: u64) -> NewRequest {
     NewRequest { customer: id % 9, ..request(id) }
@@ -51,7 +51,7 @@
 #[test]
 fn what_is_lent_is_there_for_the_booking_at_once_and_comes_back_as_others_end() {
     let mut g = gateway();
-    hold(&mut g, &[Hold { kept: 0, ..HELD }]);
+    hold(&mut g, &[Hold { reserved: 0, ..HELD }]);
     let mut lent = ask_all(&mut g, (0..40).map(other));
     assert_eq!(lent.len(), 12, "all that is not in use");
     let went = ask_all(&mut g, (100..110).map(booked));
@@ -73,7 +73,7 @@
     assert_eq!(out.len(), 12);
     // Customer 5 waits already, for something that is not booked.
     assert_eq!(ask_all(&mut g, [NewRequest { customer: 5, booking: 3, ..request(50) }]), []);
-    let acts = hold(&mut g, &[Hold { first: 1, ..HELD }]);
+    let acts = hold(&mut g, &[Hold { priority: 1, ..HELD }]);
     assert_eq!(sends(&acts).iter().map(|s| s.0).collect::<Vec<_>>(), [50]);
 }
 
@@ -98,7 +98,7 @@
 #[test]
 fn a_fleet_that_is_mostly_gone_is_not_the_bookings_alone() {
     let mut g = gateway();
-    hold(&mut g, &[Hold { first: 12, kept: 12, ..HELD }]);
+    hold(&mut g, &[Hold { priority: 12, reserved: 12, ..HELD }]);
     g.list(ListKind::Full, &[up(1), up(2)]);
     assert_eq!(g.decider.target(), 3.0);
     let mut out = ask_all(&mut g, (0..100).map(booked));
@@ -116,8 +116,8 @@
 #[test]
 fn two_holds_that_do_not_fit_are_cut_alike() {
     let mut g = gateway();
-    let second = Hold { booking: 4, first: 20, kept: 20, ..HELD };
-    hold(&mut g, &[Hold { first: 20, kept: 20, ..HELD }, second]);
+    let second = Hold { booking: 4, priority: 20, reserved: 20, ..HELD };
+    hold(&mut g, &[Hold { priority: 20, reserved: 20, ..HELD }, second]);
     assert_eq!(ask_all(&mut g, (100..140).map(other)).len(), 1, "an eighth, at least one");
     let both = (0..60).map(|id| NewRequest { booking: 3 + (id % 2) as u32, ..other(id) });
     let went = ask_all(&mut g, both);
@@ -129,7 +129,7 @@
 fn room_moves_to_where_the_booking_is_used() {
     for (moved, room) in [(6.0, 18), (-6.0, 6), (-100.0, 1)] {
         let mut g = gateway();
-        hold(&mut g, &[Hold { moved, first: 0, kept: 0, ..HELD }]);
+        hold(&mut g, &[Hold { moved, priority: 0, reserved: 0, ..HELD }]);
         assert_eq!(ask_all(&mut g, (0..60).map(other)).len(), room, "{moved}");
     }
 }
