--- a/crates/bench-host/src/wire.rs
+++ b/crates/bench-host/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's words and the decision module's types, each way.
 
-use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, Return, State};
+use curlewfront::{Action, AttemptEnd, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, State};
 use curlewfront_config::{settings, show};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -167,7 +167,7 @@
             "underWay" => Event::Started { id: v.whole(2)?, attempt: v.small(3)? },
             "returned" => {
                 v.load(10)?;
-                Event::Returned(Return {
+                Event::AttemptEnded(AttemptEnd {
                     id: v.whole(2)?,
                     attempt: v.small(3)?,
                     server: v.whole(4)?,
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -4,7 +4,7 @@
 use crate::gate::Gate;
 use crate::messages::{Asked, Carried, Ended, Told};
 use crate::servers::{self, Back};
-use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, Return, State};
+use curlewfront::{Action, AttemptEnd, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, State};
 use curlewfront_config::Members;
 use net::clock::Alarm;
 use net::door::{Answer, Reply};
@@ -247,7 +247,7 @@
             self.error = error;
         }
         let final_units = units.filter(|u| *u > 0.0 && *u <= most_units);
-        self.decide(Event::Returned(Return {
+        self.decide(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             server,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -14,7 +14,7 @@
 use cluster::rollout::Tally;
 use cluster::state::{Command, ServerChange, State};
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
-use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome, Return};
+use curlewfront::{Action, AttemptEnd, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
 use net::limits::Held;
 use net::pool::Passage;
 use net::timeouts::Timeouts;
@@ -474,8 +474,8 @@
             one.out = false;
             let (server, latency_us) = (one.server, self.now.saturating_sub(one.sent_at));
             let (used, final_units) = (None, None);
-            let back = Return { id, attempt, server, outcome, latency_us, closed, used, final_units };
-            self.decide(Event::Returned(back), out);
+            let back = AttemptEnd { id, attempt, server, outcome, latency_us, closed, used, final_units };
+            self.decide(Event::AttemptEnded(back), out);
             self.forget(id);
         }
         while let Some(plan) = self.spent.pop() {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -51,7 +51,7 @@
             Event::List { kind, entries } => self.listed(kind, &entries),
             Event::Request(r) => self.admit(r, acts),
             Event::Started { id, .. } => self.began(id),
-            Event::Returned(r) => {
+            Event::AttemptEnded(r) => {
                 // An answer past the aim is a time-out in all but name, also where it still earns something.
                 let late = self.requests.get(&r.id).is_some_and(|q| self.now > q.best_by);
                 self.learn(r.server, r.outcome, r.latency_us as f64, late);
--- a/src/decide/tries.rs
+++ b/src/decide/tries.rs
@@ -58,7 +58,7 @@
         acts.push(Action::Send { id, server, timeout_us: r.end.saturating_sub(self.now).max(1) });
     }
 
-    pub(super) fn returned(&mut self, n: Return, acts: &mut Vec<Action>) {
+    pub(super) fn returned(&mut self, n: AttemptEnd, acts: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&n.id) else { return };
         let Some(a) = r.attempts.get_mut(n.attempt as usize).filter(|a| a.out) else { return };
         a.out = false;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -268,7 +268,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Return {
+pub struct AttemptEnd {
     pub id: u64,
     pub attempt: u32,
     pub server: u64,
@@ -295,7 +295,7 @@
         id: u64,
         attempt: u32,
     },
-    Returned(Return),
+    AttemptEnded(AttemptEnd),
     /// The client has given up.
     Withdrawn {
         id: u64,
@@ -303,7 +303,7 @@
     Timer {
         token: u64,
     },
-    /// A reading of the meter that comes by itself: the customer's use, as in `Return`.
+    /// A reading of the meter that comes by itself: the customer's use, as in `AttemptEnd`.
     Used {
         customer: u64,
         used: f64,
--- a/tests/booked.rs
+++ b/tests/booked.rs
@@ -150,7 +150,7 @@
             if id % 2 == 1 && !out.is_empty() {
                 let (done, server) = out.remove(0);
                 let outcome = if done % 7 == 0 { Outcome::TimedOut } else { Outcome::Ok };
-                out.extend(sends(&g.back(Return { closed: true, ..answer(done, 0, server, outcome) })));
+                out.extend(sends(&g.back(AttemptEnd { closed: true, ..answer(done, 0, server, outcome) })));
             }
             g.pass(3 * MS);
         }
@@ -170,7 +170,7 @@
     let mut g = Gateway::with_servers(settings, 8);
     for id in 0..60 {
         let (_, server) = ask_all(&mut g, [other(id)])[0];
-        g.back(Return { latency_us: 2_800 * MS, ..answer(id, 0, server, Outcome::Ok) });
+        g.back(AttemptEnd { latency_us: 2_800 * MS, ..answer(id, 0, server, Outcome::Ok) });
     }
     hold(&mut g, &[HELD]);
     let refused = |acts: &[Action], id: u64| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -56,8 +56,8 @@
     NewRequest { id, customer: 7, left_us: 3 * SEC, spread: 2, ..NewRequest::default() }
 }
 
-pub fn answer(id: u64, attempt: u32, server: u64, outcome: Outcome) -> Return {
-    Return {
+pub fn answer(id: u64, attempt: u32, server: u64, outcome: Outcome) -> AttemptEnd {
+    AttemptEnd {
         id,
         attempt,
         server,
@@ -108,8 +108,8 @@
         self.tell(Event::Request(r))
     }
 
-    pub fn back(&mut self, r: Return) -> Vec<Action> {
-        self.tell(Event::Returned(r))
+    pub fn back(&mut self, r: AttemptEnd) -> Vec<Action> {
+        self.tell(Event::AttemptEnded(r))
     }
 
     /// Lets time pass, waking the gateway each millisecond as its timers would.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,7 +14,7 @@
     now: Micros,
     id: u64,
     /// Answers on their way: when, to which gateway, and what.
-    back: Vec<(Micros, usize, Return)>,
+    back: Vec<(Micros, usize, AttemptEnd)>,
     /// Every send: when, and to which server.
     sends: Vec<(Micros, u64)>,
     /// Attempts made of each request.
@@ -67,7 +67,7 @@
                     let attempt = *tries;
                     *tries += 1;
                     let latency_us = self.rng.u64(40..160) * MS;
-                    let answer = Return { latency_us, ..answer(id, attempt, server, outcome(server)) };
+                    let answer = AttemptEnd { latency_us, ..answer(id, attempt, server, outcome(server)) };
                     self.back.push((self.now + latency_us, n, answer));
                 }
             }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -21,7 +21,7 @@
 fn serve(g: &mut Gateway, from: u64, many: u64, outcome: Outcome) {
     let mut out = fill(g, from, many);
     while let Some((id, server)) = out.pop() {
-        for act in g.back(Return { closed: true, ..answer(id, 0, server, outcome) }) {
+        for act in g.back(AttemptEnd { closed: true, ..answer(id, 0, server, outcome) }) {
             if let Action::Send { id, server, .. } = act {
                 out.push((id, server));
             }
@@ -43,7 +43,7 @@
     let out = fill(&mut g, 0, 500);
     let start = g.decider.target();
     for (id, server) in &out {
-        g.back(Return { closed: true, ..answer(*id, 0, *server, Outcome::TimedOut) });
+        g.back(AttemptEnd { closed: true, ..answer(*id, 0, *server, Outcome::TimedOut) });
     }
     let cut = g.decider.target();
     assert!(cut < 0.95 * start && cut > 0.5 * start, "one cut: {start} to {cut}");
@@ -60,7 +60,7 @@
         for (id, server) in fill(&mut g, round * 100, 20) {
             hits += u32::from(round >= 10 && server == 3);
             let outcome = if server == 3 || id % 3 == 0 { Outcome::Rejected } else { Outcome::Ok };
-            let acts = g.back(Return { closed: true, ..answer(id, 0, server, outcome) });
+            let acts = g.back(AttemptEnd { closed: true, ..answer(id, 0, server, outcome) });
             assert!(sent(&acts).iter().all(|s| (1..=8).contains(s)) && failed(&acts) == 0);
         }
         g.pass(100 * MS);
@@ -77,7 +77,7 @@
     for round in 0..60 {
         for (id, server) in fill(&mut g, round * 100, 20) {
             let outcome = if id % 5 == 0 { Outcome::Reset } else { Outcome::Ok };
-            g.back(Return { closed: true, ..answer(id, 0, server, outcome) });
+            g.back(AttemptEnd { closed: true, ..answer(id, 0, server, outcome) });
         }
         g.pass(100 * MS);
     }
@@ -116,7 +116,7 @@
     for round in 0..40 {
         for (id, server) in fill(&mut g, round * 100, 20) {
             let outcome = if server <= 2 { Outcome::TimedOut } else { Outcome::Ok };
-            g.back(Return { closed: true, ..answer(id, 0, server, outcome) });
+            g.back(AttemptEnd { closed: true, ..answer(id, 0, server, outcome) });
         }
         g.pass(100 * MS);
     }
@@ -169,7 +169,7 @@
                 g.now += if bad { MS } else { 20 * MS };
                 let latency_us = if bad { MS } else { (15 + id * 7 % 11) * MS };
                 let outcome = if bad { Outcome::Error } else { Outcome::Ok };
-                acts = g.back(Return { latency_us, ..answer(id, n, server, outcome) });
+                acts = g.back(AttemptEnd { latency_us, ..answer(id, n, server, outcome) });
                 n += 1;
             }
         }
@@ -192,7 +192,7 @@
         for act in g.ask(NewRequest { customer: id, ..request(id) }) {
             if let Action::Send { id, server, .. } = act {
                 served += 1;
-                g.back(Return { closed: true, ..answer(id, 0, server, Outcome::Error) });
+                g.back(AttemptEnd { closed: true, ..answer(id, 0, server, Outcome::Error) });
             }
         }
         g.pass(50 * MS);
@@ -208,7 +208,7 @@
         for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
             hits[server as usize] += 1;
             let latency_us = if server == 2 { 300 * MS } else { 30 * MS };
-            g.back(Return { latency_us, ..answer(id, 0, server, Outcome::Ok) });
+            g.back(AttemptEnd { latency_us, ..answer(id, 0, server, Outcome::Ok) });
         }
         g.pass(10 * MS);
     }
@@ -306,7 +306,7 @@
     g.pass(1200 * MS);
     let start = g.decider.target();
     for (id, server) in out {
-        g.back(Return { latency_us: 1200 * MS, ..answer(id, 0, server, Outcome::Ok) });
+        g.back(AttemptEnd { latency_us: 1200 * MS, ..answer(id, 0, server, Outcome::Ok) });
     }
     assert!(g.decider.target() < start, "{}", g.decider.target());
 }
@@ -390,7 +390,7 @@
             let latency_us = if server <= 4 { 2 * MS } else { (40 + id * 7 % 21) * MS };
             failed += u32::from(server <= 4);
             all += 1;
-            acts = g.back(Return { latency_us, ..answer(id, n, server, outcome) });
+            acts = g.back(AttemptEnd { latency_us, ..answer(id, n, server, outcome) });
             n += 1;
         }
         g.pass(10 * MS);
@@ -438,7 +438,7 @@
             out.iter().position(|o| o.0 <= g.now)
         } {
             let (_, id, server, latency_us) = out.swap_remove(at);
-            acts = g.back(Return { latency_us, ..answer(id, 0, server, Outcome::Ok) });
+            acts = g.back(AttemptEnd { latency_us, ..answer(id, 0, server, Outcome::Ok) });
         }
     }
     g.decider.target()
@@ -477,7 +477,7 @@
             let well = server % 5 > 0;
             let latency_us = if well { 70 + id * 7 % 60 } else { 900 } * MS;
             let outcome = if well { Outcome::Ok } else { ill };
-            g.back(Return { latency_us, closed: true, ..answer(id, 0, server, outcome) });
+            g.back(AttemptEnd { latency_us, closed: true, ..answer(id, 0, server, outcome) });
         }
         g.pass(250 * MS);
     }
@@ -572,7 +572,7 @@
             for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
                 hits[server as usize] += 1;
                 let latency_us = if server.is_multiple_of(8) { 900 } else { 70 + id * 7 % 60 } * MS;
-                g.back(Return { latency_us, closed: true, ..answer(id, 0, server, Outcome::Ok) });
+                g.back(AttemptEnd { latency_us, closed: true, ..answer(id, 0, server, Outcome::Ok) });
             }
             g.pass(250 * MS);
         }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -58,7 +58,7 @@
     set.trued_up = true;
     let mut g = Gateway::with_servers(set, 4);
     let server = sent(&g.ask(request(0)))[0];
-    g.back(Return { final_units: Some(4.0), ..answer(0, 0, server, Outcome::Ok) });
+    g.back(AttemptEnd { final_units: Some(4.0), ..answer(0, 0, server, Outcome::Ok) });
     // Four of the four units here are gone, not one.
     assert_eq!(refused(&g.ask(request(1))), 1);
 }
@@ -69,7 +69,11 @@
     set.trued_up = true;
     let mut g = Gateway::with_servers(set, 4);
     let server = sent(&g.ask(request(0)))[0];
-    g.back(Return { final_units: Some(f64::NAN), used: Some(f64::NAN), ..answer(0, 0, server, Outcome::Ok) });
+    g.back(AttemptEnd {
+        final_units: Some(f64::NAN),
+        used: Some(f64::NAN),
+        ..answer(0, 0, server, Outcome::Ok)
+    });
     for id in 1..4 {
         assert_eq!(refused(&g.ask(request(id))), 0);
     }
@@ -84,7 +88,7 @@
         let acts = g.ask(request(id));
         for server in sent(&acts) {
             through += 1;
-            g.back(Return { used, ..answer(id, 0, server, Outcome::Ok) });
+            g.back(AttemptEnd { used, ..answer(id, 0, server, Outcome::Ok) });
         }
         g.pass(10 * MS);
     }
@@ -114,7 +118,7 @@
             for act in acts.drain(..) {
                 if let Action::Send { id, server, .. } = act {
                     through += 1;
-                    g.back(Return { used: Some(used), ..answer(id, 0, server, Outcome::Ok) });
+                    g.back(AttemptEnd { used: Some(used), ..answer(id, 0, server, Outcome::Ok) });
                 }
             }
             acts = g.pass(10 * MS);
@@ -153,7 +157,7 @@
             for server in sent(&g.ask(NewRequest { spread, ..request(id) })) {
                 through += 1;
                 let used = (id == 0).then_some(0.1);
-                g.back(Return { used, ..answer(id, 0, server, Outcome::Ok) });
+                g.back(AttemptEnd { used, ..answer(id, 0, server, Outcome::Ok) });
             }
             g.pass(100 * MS);
         }
@@ -180,8 +184,11 @@
             });
             if let Some((id, server)) = out.filter(|o| sends.last().is_none_or(|(_, last)| *last != o.0)) {
                 sends.push((g.now, id));
-                let n =
-                    Return { latency_us: 100 * MS, used: Some(0.1), ..answer(id, 0, server, Outcome::Ok) };
+                let n = AttemptEnd {
+                    latency_us: 100 * MS,
+                    used: Some(0.1),
+                    ..answer(id, 0, server, Outcome::Ok)
+                };
                 g.back(n);
             }
             if step % 2 == 0 {
@@ -199,7 +206,7 @@
     let set = Settings { balancers: 90, ..settings(Plan { at_once: 2, ..Plan::default() }) };
     let mut g = Gateway::with_servers(set, 8);
     let server = sent(&g.ask(NewRequest { spread: 90, ..request(0) }))[0];
-    g.back(Return { used: Some(2.0), ..answer(0, 0, server, Outcome::Ok) });
+    g.back(AttemptEnd { used: Some(2.0), ..answer(0, 0, server, Outcome::Ok) });
     let acts = g.ask(NewRequest { spread: 90, ..request(1) });
     assert!(
         acts.iter().any(|a| matches!(a, Action::Refuse { id: 1, retry_after_us, .. } if *retry_after_us > 0))
@@ -222,7 +229,7 @@
         for server in sent(&acts) {
             through[phase] += 1;
             let used = Some(if phase == 0 { 0.1 } else { 2.0 });
-            g.back(Return { used, ..answer(id, 0, server, Outcome::Ok) });
+            g.back(AttemptEnd { used, ..answer(id, 0, server, Outcome::Ok) });
         }
         g.pass(10 * MS);
     }
@@ -272,7 +279,7 @@
     let mut g = Gateway::with_servers(set, 8);
     // A part of half an attempt: the least one goes out.
     let server = sent(&g.ask(ask(0)))[0];
-    g.back(Return { used: Some(1.5), ..answer(0, 0, server, Outcome::Ok) });
+    g.back(AttemptEnd { used: Some(1.5), ..answer(0, 0, server, Outcome::Ok) });
     assert_eq!(sent(&g.ask(ask(1))).len(), 0);
     // Once the meter is silent, one goes out again.
     g.pass(3 * SEC);
@@ -365,7 +372,7 @@
         for server in sent(&g.ask(request(id))) {
             through[phase] += 1;
             let used = (phase == 0).then_some(0.1);
-            g.back(Return { used, ..answer(id, 0, server, Outcome::Ok) });
+            g.back(AttemptEnd { used, ..answer(id, 0, server, Outcome::Ok) });
         }
         g.pass(10 * MS);
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -101,7 +101,7 @@
     let server = sent(&g.ask(request(1)))[0];
     g.tell(Event::Started { id: 1, attempt: 0 });
     let mut acts = g.pass(5 * SEC);
-    acts.extend(g.back(Return { closed: true, ..answer(1, 0, server, Outcome::Reset) }));
+    acts.extend(g.back(AttemptEnd { closed: true, ..answer(1, 0, server, Outcome::Reset) }));
     assert_eq!((sent(&acts).len(), refused(&acts), failed(&acts)), (0, 0, 0));
 }
 
@@ -137,7 +137,7 @@
         }
         for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
             hits[server as usize] += 1;
-            g.back(Return { latency_us: 9 * MS, ..answer(id, 0, server, Outcome::Ok) });
+            g.back(AttemptEnd { latency_us: 9 * MS, ..answer(id, 0, server, Outcome::Ok) });
         }
         // Several out at once, so that the limit of one at a time is not all that holds.
         g.pass(5 * MS);
@@ -341,7 +341,7 @@
             if outcome == Outcome::Ok {
                 open.remove(&id);
             }
-            acts = g.back(Return { closed, ..answer(id, attempt, server, outcome) });
+            acts = g.back(AttemptEnd { closed, ..answer(id, attempt, server, outcome) });
             turn += 1;
             assert!(turn < 1000);
         }
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -67,7 +67,7 @@
             Action::Send { id: i, server, .. } if *i == id => Some(*server),
             _ => None,
         });
-        g.back(Return { closed: true, ..answer(id, 0, server.unwrap(), Outcome::TimedOut) });
+        g.back(AttemptEnd { closed: true, ..answer(id, 0, server.unwrap(), Outcome::TimedOut) });
     }
     let cut = target - g.decider.target();
     assert!((1.19..1.21).contains(&cut), "a fifth of one target of 6, not {cut}");
