--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -479,7 +479,7 @@
             self.forget(id);
         }
         while let Some(plan) = self.spent.pop() {
-            self.decide(Event::Used { customer: plan as u64, used: SPENT }, out);
+            self.decide(Event::MeterReading { customer: plan as u64, used: SPENT }, out);
         }
     }
 
@@ -715,7 +715,7 @@
             if let Some(reading) = readings.iter().find(|r| r.tenant == key) {
                 let quota = Quota { rate, burst: self.book.even(plan, nodes).burst };
                 let used = self.tenants.read(self.now, made_at, plan, reading, nodes, quota);
-                self.decide(Event::Used { customer: plan as u64, used }, out);
+                self.decide(Event::MeterReading { customer: plan as u64, used }, out);
             }
         }
     }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -61,7 +61,7 @@
                 self.turn_away();
                 self.close(id, None, acts);
             }
-            Event::Used { customer, used } => {
+            Event::MeterReading { customer, used } => {
                 self.read(customer, used);
                 self.line_up(customer, None, false);
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -304,7 +304,7 @@
         token: u64,
     },
     /// A reading of the meter that comes by itself: the customer's use, as in `AttemptEnd`.
-    Used {
+    MeterReading {
         customer: u64,
         used: f64,
     },
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -414,7 +414,7 @@
                     g.back(answer(id, 0, server, Outcome::Ok));
                 }
             }
-            g.tell(Event::Used { customer: 7, used });
+            g.tell(Event::MeterReading { customer: 7, used });
         }
         assert!((least..=most).contains(&through), "{through} of 30 at a reading of {used}");
     }
--- a/tests/services.rs
+++ b/tests/services.rs
@@ -141,7 +141,7 @@
         let mut all = 0;
         for id in 1..400 {
             if let Some(used) = used.filter(|_| id % 20 == 0) {
-                g.tell(Event::Used { customer: 7, used });
+                g.tell(Event::MeterReading { customer: 7, used });
             }
             for act in g.ask(request(id)) {
                 if let Action::Send { id, server, .. } = act {
