--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -495,9 +495,9 @@
     fn act(&mut self, act: Action, out: &mut Vec<Output>) {
         match act {
             Action::Send { id, server, timeout_us } => self.send(id, server, timeout_us, out),
-            Action::Refuse { id, retry_after_us, over } => {
+            Action::Refuse { id, retry_after_us, over_quota } => {
                 self.counts.refused += 1;
-                let (status, why) = if over { (429, "beyond the quota") } else { (503, "not now") };
+                let (status, why) = if over_quota { (429, "beyond the quota") } else { (503, "not now") };
                 self.answer(id, Answer::later(status, why, retry_after_us), out);
             }
             Action::Fail { id } => {
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -24,7 +24,7 @@
         }
         let known = (service as usize) < self.fleets.len() && class < self.set.classes.len();
         if !known || n.plan >= self.set.plans.len() {
-            return acts.push(Action::Refuse { id, retry_after_us: 0, over: false });
+            return acts.push(Action::Refuse { id, retry_after_us: 0, over_quota: false });
         }
         let (tried_for, fleet) = (self.tried_for(&n), service as usize);
         let (kind, plan) = (&self.set.classes[class], &self.set.plans[n.plan]);
@@ -49,7 +49,7 @@
             // Over its quota: the only refusal by customer, whatever the request is worth.
             self.turn_away();
             let retry_after_us = self.advice((units - level) / rate * 1e6);
-            return acts.push(Action::Refuse { id, retry_after_us, over: true });
+            return acts.push(Action::Refuse { id, retry_after_us, over_quota: true });
         }
         let mean = self.fleets[fleet].load.mean;
         let (f, soon) = (&self.fleets[fleet], self.now + mean as Micros / 2);
@@ -57,7 +57,7 @@
         let idle = f.ring.is_empty() && 2.0 * f64::from(f.load.out) < f.target(&self.set);
         let best_by = if best_by < soon && (idle || self.held_for(&n)) { end } else { best_by };
         if best_by < soon {
-            return acts.push(Action::Refuse { id, retry_after_us: self.advice(mean), over: false });
+            return acts.push(Action::Refuse { id, retry_after_us: self.advice(mean), over_quota: false });
         }
         let c = self.customers.get_mut(&key).expect("just seen");
         c.level -= units;
--- a/src/decide/tries.rs
+++ b/src/decide/tries.rs
@@ -119,7 +119,7 @@
     /// trying again is harmless, else a failure.
     pub(super) fn give_up(&mut self, id: u64, acts: &mut Vec<Action>) {
         let r = &self.requests[&id];
-        let (over, ran) = (false, r.attempts.iter().any(|a| a.out || a.may_have_run));
+        let (over_quota, ran) = (false, r.attempts.iter().any(|a| a.out || a.may_have_run));
         let harmless = match self.set.classes[r.asked.class].effect {
             Effect::Repeatable | Effect::ByKey { group: Group::All, .. } => true,
             _ => !ran,
@@ -127,7 +127,8 @@
         let fleet = &self.fleets[r.fleet()];
         let jam = fleet.ring.len() as f64 / fleet.target(&self.set);
         let retry_after_us = self.advice(fleet.load.mean * (1.0 + jam));
-        let answer = if harmless { Action::Refuse { id, retry_after_us, over } } else { Action::Fail { id } };
+        let answer =
+            if harmless { Action::Refuse { id, retry_after_us, over_quota } } else { Action::Fail { id } };
         self.turn_away();
         self.close(id, Some(answer), acts);
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -323,7 +323,7 @@
         id: u64,
         retry_after_us: Micros,
         /// Its customer has asked for more than its quota.
-        over: bool,
+        over_quota: bool,
     },
     /// Final answer that promises nothing.
     Fail {
