--- a/crates/bench-host/src/wire.rs
+++ b/crates/bench-host/src/wire.rs
@@ -160,7 +160,7 @@
                 left_us: v.whole(6)?,
                 units: v.get(7).map_or(Ok(1.0), |_| v.number(7))?,
                 spread: v.get(8).map_or(Ok(1), |_| v.small(8))?,
-                first: v.get(9).map_or(Ok(0), |_| v.small(9))?,
+                first_gateway: v.get(9).map_or(Ok(0), |_| v.small(9))?,
                 repeat: v.truth_or_false(10)?,
                 ..NewRequest::default()
             }),
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -218,7 +218,7 @@
             left_us,
             units,
             spread,
-            first,
+            first_gateway: first,
             repeat,
             ..NewRequest::default()
         };
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -42,7 +42,7 @@
             self.roster.push_back(key);
             Customer { level, ceiling, filled_at: self.now, used: 1.0, ..Customer::default() }
         });
-        (c.plan, c.spread, c.first) = (n.plan, spread, n.first);
+        (c.plan, c.spread, c.first_gateway) = (n.plan, spread, n.first_gateway);
         let level = self.refill(key);
         let burst = self.burst_here(&self.customers[&key]);
         if rate > 0.0 && level < units.min(burst) {
@@ -189,8 +189,8 @@
         let (plan, slice) = (&self.set.plans[c.plan], self.slice(c));
         if plan.at_once > 0 {
             // Whole parts that add up to the limit; where a gateway's part is none, one goes out at times.
-            let place =
-                (self.set.index + self.set.balancers - c.first % self.set.balancers) % self.set.balancers;
+            let place = (self.set.index + self.set.balancers - c.first_gateway % self.set.balancers)
+                % self.set.balancers;
             let (place, part) = ((place % c.spread) as f64, plan.at_once as f64 * slice);
             let least = if self.now < c.sent_at + self.pause(c, r.service as usize) { 0.0 } else { 1.0 };
             let whole = ((place + 1.0) * part).floor() - (place * part).floor();
--- a/src/decide/records.rs
+++ b/src/decide/records.rs
@@ -101,7 +101,7 @@
 pub struct Customer {
     pub plan: usize,
     pub spread: u32,
-    pub first: u32,
+    pub first_gateway: u32,
     /// Levels of its bucket and of its ceiling's store here.
     pub level: f64,
     pub ceiling: f64,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -210,9 +210,9 @@
     /// Time left before the client gives this try up.
     pub left_us: Micros,
     pub units: f64,
-    /// Number of gateways that this customer's requests come through, from number `first` on.
+    /// Number of gateways that this customer's requests come through, from number `first_gateway` on.
     pub spread: u32,
-    pub first: u32,
+    pub first_gateway: u32,
     /// The client has tried before, where clients tell.
     pub repeat: bool,
     /// The fleet that it is for.
@@ -240,7 +240,7 @@
             left_us: 0,
             units: 1.0,
             spread: 1,
-            first: 0,
+            first_gateway: 0,
             repeat: false,
             service: 0,
             zones: u64::MAX,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -259,7 +259,10 @@
     let mut g = Gateway::with_servers(settings(free()), 2);
     assert_eq!(refused(&g.ask(NewRequest { class: 9, ..request(1) })), 1);
     assert_eq!(refused(&g.ask(NewRequest { plan: 9, ..request(2) })), 1);
-    assert_eq!(sent(&g.ask(NewRequest { units: f64::NAN, spread: 0, first: 99, ..request(3) })).len(), 1);
+    assert_eq!(
+        sent(&g.ask(NewRequest { units: f64::NAN, spread: 0, first_gateway: 99, ..request(3) })).len(),
+        1
+    );
 }
 
 #[test]
