--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -32,7 +32,7 @@
         fall_us: rules.whole("fallUs")?,
         services: 1,
         starts_empty: false,
-        retry: None,
+        retry_budget: None,
         light_use_below: 0.0,
         light_use_burst: 0.0,
     })
--- a/crates/proxy/src/book.rs
+++ b/crates/proxy/src/book.rs
@@ -325,7 +325,7 @@
             max_retry_after_us: RETRY_AFTER_US,
             attempts_cap: 2,
             starts_empty: true,
-            retry: Some(self.place.leeway.retry(balancers)),
+            retry_budget: Some(self.place.leeway.retry(balancers)),
             light_use_below: LOOSE_UNDER,
             light_use_burst: LOOSE_BURST,
             cold_from: 0.25,
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -9,7 +9,7 @@
     pub fn new(set: &Settings) -> Fleet {
         let aim = set.classes.iter().map(|c| c.aim_us).min().unwrap_or(1) as f64;
         let (tiers, load) = (vec![Tier::default()], Target::new(aim));
-        Fleet { tiers, load, retries: set.retry.unwrap_or(RETRY)[1], ..Fleet::default() }
+        Fleet { tiers, load, retries: set.retry_budget.unwrap_or(RETRY)[1], ..Fleet::default() }
     }
 
     pub fn target(&self, set: &Settings) -> f64 {
--- a/src/decide/tries.rs
+++ b/src/decide/tries.rs
@@ -44,7 +44,7 @@
             if self.set.plans[c.plan].ceiling_rate > 0.0 {
                 c.ceiling -= r.asked.units;
             }
-            let [part, saved, _] = self.set.retry.unwrap_or(RETRY);
+            let [part, saved, _] = self.set.retry_budget.unwrap_or(RETRY);
             fleet.retries = (fleet.retries + part).min(saved);
         }
         r.waits = false;
@@ -90,7 +90,7 @@
 
     /// After a failure: another attempt if in time, allowed and in the budget; free after no connection.
     fn again(&mut self, id: u64, last: Outcome, acts: &mut Vec<Action>) {
-        let reset = self.set.retry.unwrap_or(RETRY)[2];
+        let reset = self.set.retry_budget.unwrap_or(RETRY)[2];
         let cost = if last == Outcome::Reset { reset } else { f64::from(last != Outcome::ConnectFailed) };
         let r = self.requests.get_mut(&id).expect("just seen");
         let (n, fleet) = (r.fleet(), &mut self.fleets[r.fleet()]);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -38,7 +38,7 @@
     pub light_use_below: f64,
     pub light_use_burst: f64,
     /// Further attempts for each first one, how many may be saved up, what one after a reset costs; None: as usual.
-    pub retry: Option<[f64; 3]>,
+    pub retry_budget: Option<[f64; 3]>,
     /// Separate fleets of servers, numbered from 0; 0 and 1 both mean one.
     pub services: u32,
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -33,7 +33,7 @@
         fall_us: 2 * SEC,
         services: 1,
         starts_empty: false,
-        retry: None,
+        retry_budget: None,
         light_use_below: 0.0,
         light_use_burst: 0.0,
     }
