--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,225 +1,225 @@
-//! Quotas: whether a request is let in, what part of a quota is granted here, how much may be out at once.
+//! Quotas: which requests are admitted, this gateway's share of a quota, and the cap on work in flight.
 
 use super::Decider;
 use super::records::{Customer, Request, Task};
 use crate::interface::*;
 
-/// Periods of the meter for which a reading holds, and over which a lower one is believed, where a customer
-/// comes through no more than a few gateways.
-const HOLD: f64 = 2.0;
-const BELIEVE_OVER: f64 = 3.0;
-const FEW: f64 = 4.0;
-const FLOOD: f64 = 1.1;
-/// A burst is split by this power of the number of gateways at the most; 1 would be evenly.
-const BURST_SPLIT: f64 = 0.8;
-/// First tries, in excess of later ones, that make their usual time left known.
-const SURE: u32 = 20;
-const MOST_AWAY: u32 = 1000;
+/// How long a meter reading is valid, and over how long a lower one is blended in, in meter periods, for a
+/// customer of at most `FEW_GATEWAYS` gateways.
+const READING_VALID_PERIODS: f64 = 2.0;
+const LOWER_READING_PERIODS: f64 = 3.0;
+const FEW_GATEWAYS: f64 = 4.0;
+/// A reading above this multiple of the quota takes back what was saved up under light use.
+const OVERUSE: f64 = 1.1;
+/// A gateway gets at least 1 / gateways^this of a burst; 1 would be an even split.
+const BURST_SPLIT_EXPONENT: f64 = 0.8;
+/// Confidence from which the usual time left of first tries is relied on; see `already_spent`.
+const CONFIDENT: u32 = 20;
+const MAX_UNSERVED: u32 = 1000;
 
 impl Decider {
-    pub(super) fn admit(&mut self, n: NewRequest, acts: &mut Vec<Action>) {
+    pub(super) fn admit(&mut self, n: NewRequest, actions: &mut Vec<Action>) {
         let NewRequest { id, class, customer: key, service, .. } = n;
         if self.requests.contains_key(&id) {
             return;
         }
         let known = (service as usize) < self.fleets.len() && class < self.set.classes.len();
         if !known || n.plan >= self.set.plans.len() {
-            return acts.push(Action::Refuse { id, retry_after_us: 0, over_quota: false });
+            return actions.push(Action::Refuse { id, retry_after_us: 0, over_quota: false });
         }
-        let (tried_for, fleet) = (self.tried_for(&n), service as usize);
-        let (kind, plan) = (&self.set.classes[class], &self.set.plans[n.plan]);
-        self.fleets[fleet].aim = self.fleets[fleet].aim.max(kind.aim_us);
-        let margin = 2 * self.set.tick_us + kind.aim_us / 100;
-        let aim = kind.aim_us.saturating_sub(tried_for).min(n.left_us).saturating_sub(margin);
-        let end = if kind.late_worth > 0.0 { n.left_us.saturating_sub(margin) } else { aim };
-        let (best_by, end) = (self.now.saturating_add(aim), self.now.saturating_add(end));
+        let (spent, fleet) = (self.already_spent(&n), service as usize);
+        let (class_settings, plan) = (&self.set.classes[class], &self.set.plans[n.plan]);
+        self.fleets[fleet].aim = self.fleets[fleet].aim.max(class_settings.aim_us);
+        let margin = 2 * self.set.tick_us + class_settings.aim_us / 100;
+        let aim = class_settings.aim_us.saturating_sub(spent).min(n.left_us).saturating_sub(margin);
+        let deadline = if class_settings.late_worth > 0.0 { n.left_us.saturating_sub(margin) } else { aim };
+        let (best_by, deadline) = (self.now.saturating_add(aim), self.now.saturating_add(deadline));
         let units = if n.units.is_finite() { n.units.max(0.0) } else { 1.0 };
         let spread = n.spread.clamp(1, self.set.balancers);
-        let (rate, ceiling) = (plan.rate / spread as f64, self.fresh_ceiling(plan, spread));
-        let level = if self.set.starts_empty { 1.0 + rate * self.age() } else { f64::INFINITY };
-        self.forget_some();
+        let (rate, ceiling_tokens) = (plan.rate / spread as f64, self.initial_ceiling(plan, spread));
+        let tokens = if self.set.starts_empty { 1.0 + rate * self.age() } else { f64::INFINITY };
+        self.evict_idle_customers();
         let c = self.customers.entry(key).or_insert_with(|| {
-            self.roster.push_back(key);
-            Customer { level, ceiling, filled_at: self.now, used: 1.0, ..Customer::default() }
+            self.eviction_queue.push_back(key);
+            Customer { tokens, ceiling_tokens, refilled_at: self.now, used: 1.0, ..Customer::default() }
         });
         (c.plan, c.spread, c.first_gateway) = (n.plan, spread, n.first_gateway);
-        let level = self.refill(key);
-        let burst = self.burst_here(&self.customers[&key]);
-        if rate > 0.0 && level < units.min(burst) {
-            // Over its quota: the only refusal by customer, whatever the request is worth.
-            self.turn_away();
-            let retry_after_us = self.advice((units - level) / rate * 1e6);
-            return acts.push(Action::Refuse { id, retry_after_us, over_quota: true });
+        let tokens = self.refill(key);
+        let burst = self.local_burst(&self.customers[&key]);
+        if rate > 0.0 && tokens < units.min(burst) {
+            // Over its quota: the only refusal that depends on the customer, whatever the request's class.
+            self.record_unserved();
+            let retry_after_us = self.retry_after((units - tokens) / rate * 1e6);
+            return actions.push(Action::Refuse { id, retry_after_us, over_quota: true });
         }
-        let mean = self.fleets[fleet].load.mean;
+        let mean = self.fleets[fleet].aimd.latency;
         let (f, soon) = (&self.fleets[fleet], self.now + mean as Micros / 2);
-        // A late answer earns little, but costs nothing where room is held, or nobody waits and half is free.
-        let idle = f.ring.is_empty() && 2.0 * f64::from(f.load.out) < f.target(&self.set);
-        let best_by = if best_by < soon && (idle || self.held_for(&n)) { end } else { best_by };
+        // A late answer is worth little but costs nothing if room is booked, or none wait and half is free.
+        let idle = f.round_robin.is_empty() && 2.0 * f64::from(f.aimd.in_flight) < f.target(&self.set);
+        let best_by = if best_by < soon && (idle || self.booking_has_room(&n)) { deadline } else { best_by };
         if best_by < soon {
-            return acts.push(Action::Refuse { id, retry_after_us: self.advice(mean), over_quota: false });
+            let retry_after_us = self.retry_after(mean);
+            return actions.push(Action::Refuse { id, retry_after_us, over_quota: false });
         }
         let c = self.customers.get_mut(&key).expect("just seen");
-        c.level -= units;
-        c.line(fleet).push_back(id);
-        self.line_up(key, Some(fleet), true);
-        let (attempts, lots, waits, streaming, done) = (Vec::new(), 0, true, false, false);
-        let asked = NewRequest { units, ..n };
-        self.requests.insert(id, Request { asked, best_by, end, attempts, lots, waits, streaming, done });
-        let needs = self.fleets[fleet].load.needs();
-        self.agenda.insert((best_by.saturating_sub(needs).max(self.now + 1), Task::End(id)));
+        c.tokens -= units;
+        c.queue(fleet).push_back(id);
+        self.schedule_customer(key, Some(fleet), true);
+        let (attempts, draws, queued, streaming, done) = (Vec::new(), 0, true, false, false);
+        let params = NewRequest { units, ..n };
+        self.requests
+            .insert(id, Request { params, best_by, deadline, attempts, draws, queued, streaming, done });
+        let likely = self.fleets[fleet].aimd.likely_latency();
+        self.tasks.insert((best_by.saturating_sub(likely).max(self.now + 1), Task::Expire(id)));
     }
 
-    /// How long the client has been at this request. A later try has what is left of the deadline, while
-    /// first tries all have the same share of it; what it has lost of its aim cannot be won back, and work
-    /// on it would keep a jam going.
-    fn tried_for(&mut self, n: &NewRequest) -> Micros {
-        let deadline = self.set.classes[n.class].deadline_us;
-        let (usual, sure) = &mut self.usual_left[n.class];
-        let near = n.left_us.abs_diff(*usual) <= deadline / 100;
+    /// How long the client has already tried this request: first tries all have the same time left, retries
+    /// less. That part of the aim is lost, and serving requests already late would prolong an overload.
+    fn already_spent(&mut self, n: &NewRequest) -> Micros {
+        let deadline_us = self.set.classes[n.class].deadline_us;
+        let (usual, confidence) = &mut self.usual_time_left[n.class];
+        let near = n.left_us.abs_diff(*usual) <= deadline_us / 100;
         if near {
-            *sure = (*sure + 2).min(SURE * 4);
+            *confidence = (*confidence + 2).min(CONFIDENT * 4);
         } else if !n.repeat {
-            *sure = sure.saturating_sub(1);
-            if *sure == 0 {
+            *confidence = confidence.saturating_sub(1);
+            if *confidence == 0 {
                 *usual = n.left_us;
             }
         }
-        let later = !near && if self.set.marks_retry { n.repeat } else { *sure >= SURE };
-        if !later || self.turned_away == 0 {
-            return 0; // nobody comes again who was not turned away: the sign misleads here
+        let is_retry = !near && if self.set.marks_retry { n.repeat } else { *confidence >= CONFIDENT };
+        if !is_retry || self.unserved == 0 {
+            return 0; // only unserved requests are retried: an odd time left means nothing here
         }
-        self.turned_away -= 1;
-        deadline.saturating_sub(n.left_us)
+        self.unserved -= 1;
+        deadline_us.saturating_sub(n.left_us)
     }
 
-    pub(super) fn turn_away(&mut self) {
-        self.turned_away = (self.turned_away + 1).min(MOST_AWAY);
+    pub(super) fn record_unserved(&mut self) {
+        self.unserved = (self.unserved + 1).min(MAX_UNSERVED);
     }
 
-    pub(super) fn advice(&self, wait: f64) -> Micros {
-        let (least, most) = (self.set.tick_us, self.set.max_retry_after_us.max(self.set.tick_us));
-        if self.set.retry_after { (wait as Micros).clamp(least, most) } else { 0 }
+    pub(super) fn retry_after(&self, wait: f64) -> Micros {
+        let (min, max) = (self.set.tick_us, self.set.max_retry_after_us.max(self.set.tick_us));
+        if self.set.retry_after { (wait as Micros).clamp(min, max) } else { 0 }
     }
 
-    /// The meter is late, and silent for those who send nothing.
-    fn meter_speaks(&self, c: &Customer) -> bool {
-        let hold = HOLD * rarely(c.spread) * self.set.meter_us as f64;
-        c.used_at.is_some_and(|at| (self.now - at) as f64 <= hold)
+    /// Readings come with a delay, and none come for a customer that sends nothing.
+    fn has_fresh_reading(&self, c: &Customer) -> bool {
+        let valid = READING_VALID_PERIODS * reading_gap(c.spread) * self.set.meter_us as f64;
+        c.used_at.is_some_and(|at| (self.now - at) as f64 <= valid)
     }
 
-    /// The part of the customer's quota that is granted here: the even share, and of the room that the meter
-    /// leaves as much as one of so many gateways may need whose traffic is uneven. Silent meter or a ceiling:
-    /// the even share alone. Most of the quota at each of many gateways where going beyond it loses nothing.
-    fn slice(&self, c: &Customer) -> f64 {
+    /// This gateway's share of the customer's quota: the even share, plus part of the quota's unused rest for
+    /// traffic that is uneven over the gateways. Only the even share without a fresh reading or under a
+    /// ceiling. With many gateways each gets most of the quota if exceeding it loses nothing.
+    fn quota_share(&self, c: &Customer) -> f64 {
         let (spread, plan) = (c.spread as f64, &self.set.plans[c.plan]);
         if plan.ceiling_rate > 0.0 {
             return 1.0 / spread;
         }
-        let room = if self.meter_speaks(c) { (1.0 - c.used).max(0.0) } else { 0.0 };
-        // Where an excess earns what it costs, the even share guards only the load, as the target does; many
-        // gateways would refuse what has room. It could harm a fleet that is short.
-        let earns = plan.over_worth > 0.0 && plan.over_cost <= plan.over_worth;
-        let calm = if self.loose(c) { room / FEW } else { 0.0 };
-        let floor = if earns { 1.0 - FEW / spread } else { calm };
-        ((1.0 + room * rarely(c.spread)) / spread).max(floor).min(1.0)
+        let unused = if self.has_fresh_reading(c) { (1.0 - c.used).max(0.0) } else { 0.0 };
+        // Where excess earns what it costs, the even share only limits load, as the target does, and many
+        // gateways would refuse what the quota has room for. It could harm a fleet short of capacity.
+        let excess_pays = plan.over_worth > 0.0 && plan.over_cost <= plan.over_worth;
+        let light = if self.in_light_use(c) { unused / FEW_GATEWAYS } else { 0.0 };
+        let floor = if excess_pays { 1.0 - FEW_GATEWAYS / spread } else { light };
+        ((1.0 + unused * reading_gap(c.spread)) / spread).max(floor).min(1.0)
     }
 
-    /// The part of its burst for this slice; more than the even one, as gateways seldom need it all at once.
-    fn burst_here(&self, c: &Customer) -> f64 {
-        let (s, burst) = (self.slice(c), self.set.plans[c.plan].burst);
-        let loose = if self.loose(c) { self.set.light_use_burst } else { 0.0 };
-        (burst * s.max((c.spread as f64).powf(-BURST_SPLIT))).max(loose)
+    /// This gateway's part of the burst: more than an even one, as gateways seldom all need it at once.
+    fn local_burst(&self, c: &Customer) -> f64 {
+        let (share, burst) = (self.quota_share(c), self.set.plans[c.plan].burst);
+        let light = if self.in_light_use(c) { self.set.light_use_burst } else { 0.0 };
+        (burst * share.max((c.spread as f64).powf(-BURST_SPLIT_EXPONENT))).max(light)
     }
 
-    /// While the meter reads little use, many gateways would else refuse what the quota has room for.
-    fn loose(&self, c: &Customer) -> bool {
-        self.meter_speaks(c) && c.used < self.set.light_use_below
+    /// Light use allows a larger burst: else many gateways would refuse what the quota has room for.
+    fn in_light_use(&self, c: &Customer) -> bool {
+        self.has_fresh_reading(c) && c.used < self.set.light_use_below
     }
 
-    /// What a gateway may count on in a ceiling's store that it sees first now. One that starts again cannot
-    /// know what its earlier life spent, so its share was empty when it started.
-    fn fresh_ceiling(&self, plan: &Plan, spread: u32) -> f64 {
+    /// Initial tokens of a ceiling: empty at the gateway's start, as it cannot know what it spent before.
+    fn initial_ceiling(&self, plan: &Plan, spread: u32) -> f64 {
         (plan.ceiling_rate * self.age()).min(plan.ceiling_burst) / spread as f64
     }
 
     pub(super) fn refill(&mut self, key: u64) -> f64 {
         let Some(c) = self.customers.get(&key) else { return 0.0 };
-        let (slice, plan, spread) = (self.slice(c), &self.set.plans[c.plan], c.spread as f64);
-        let dt = (self.now - c.filled_at) as f64 / 1e6;
-        let level = (c.level + plan.rate * slice * dt).min(self.burst_here(c));
-        let ceiling = (c.ceiling + plan.ceiling_rate / spread * dt).min(plan.ceiling_burst / spread);
+        let (share, plan, spread) = (self.quota_share(c), &self.set.plans[c.plan], c.spread as f64);
+        let dt = (self.now - c.refilled_at) as f64 / 1e6;
+        let tokens = (c.tokens + plan.rate * share * dt).min(self.local_burst(c));
+        let ceiling = (c.ceiling_tokens + plan.ceiling_rate / spread * dt).min(plan.ceiling_burst / spread);
         let c = self.customers.get_mut(&key).expect("just seen");
-        (c.level, c.ceiling, c.filled_at) = (level, ceiling, self.now);
-        level
+        (c.tokens, c.ceiling_tokens, c.refilled_at) = (tokens, ceiling, self.now);
+        tokens
     }
 
-    /// Customers seen once must not grow memory: who is as good as new is forgotten, two are looked at for
-    /// each request.
-    fn forget_some(&mut self) {
+    /// Bounds memory: checks two customers per request and forgets those whose state is that of a new one.
+    fn evict_idle_customers(&mut self) {
         for _ in 0..2 {
-            let Some(key) = self.roster.pop_front() else { return };
-            let level = self.refill(key);
+            let Some(key) = self.eviction_queue.pop_front() else { return };
+            let tokens = self.refill(key);
             let c = &self.customers[&key];
             let plan = &self.set.plans[c.plan];
-            let waits = c.lines.iter().any(|l| l.in_ring || !l.waiting.is_empty());
-            let idle = !waits && c.attempts_out == 0 && !self.meter_speaks(c);
-            let ceiling_full = c.ceiling >= self.fresh_ceiling(plan, c.spread) - 1e-9;
-            if idle && ceiling_full && (plan.rate == 0.0 || level >= self.burst_here(c)) {
+            let waiting = c.queues.iter().any(|q| q.scheduled || !q.waiting.is_empty());
+            let idle = !waiting && c.in_flight == 0 && !self.has_fresh_reading(c);
+            let ceiling_full = c.ceiling_tokens >= self.initial_ceiling(plan, c.spread) - 1e-9;
+            if idle && ceiling_full && (plan.rate == 0.0 || tokens >= self.local_burst(c)) {
                 self.customers.remove(&key);
             } else {
-                self.roster.push_back(key);
+                self.eviction_queue.push_back(key);
             }
         }
     }
 
-    /// How long after a send the next may go out, where the part of a told limit is under one, so that it is
-    /// kept over time: once the meter has read the limit full; beside a rate, which it tells instead, always.
-    pub(super) fn pause(&self, c: &Customer, fleet: usize) -> Micros {
+    /// Least time between sends where this gateway's part of `at_once` is under one, so that the limit holds
+    /// over time. Beside a rate always, as the meter then reads the rate; else once it reads the limit full.
+    pub(super) fn send_gap(&self, c: &Customer, fleet: usize) -> Micros {
         let plan = &self.set.plans[c.plan];
-        let even = self.fleets[fleet].load.mean * c.spread as f64 / f64::from(plan.at_once.max(1));
+        let gap = self.fleets[fleet].aimd.latency * c.spread as f64 / f64::from(plan.at_once.max(1));
         let late =
-            if c.used >= 1.0 { (even * c.used * c.used).max(2.0 * self.set.meter_us as f64) } else { 0.0 };
-        (if plan.rate > 0.0 { even } else { late }) as Micros
+            if c.used >= 1.0 { (gap * c.used * c.used).max(2.0 * self.set.meter_us as f64) } else { 0.0 };
+        (if plan.rate > 0.0 { gap } else { late }) as Micros
     }
 
-    /// Whether the customer may have one more attempt out here: slice x aim + burst in units (Little's law),
-    /// or its part of a told limit on attempts; one in any case.
+    /// Whether the customer may have one more attempt in flight here: up to share x rate x aim + burst units
+    /// (Little's law), or its part of `at_once`; one is always allowed, but see `send_gap`.
     pub(super) fn under_cap(&self, c: &Customer, r: &NewRequest) -> bool {
-        let (plan, slice) = (&self.set.plans[c.plan], self.slice(c));
+        let (plan, share) = (&self.set.plans[c.plan], self.quota_share(c));
         if plan.at_once > 0 {
-            // Whole parts that add up to the limit; where a gateway's part is none, one goes out at times.
-            let place = (self.set.index + self.set.balancers - c.first_gateway % self.set.balancers)
+            // Whole parts that add up to the limit; a gateway whose part is 0 may send one now and then.
+            let index = (self.set.index + self.set.balancers - c.first_gateway % self.set.balancers)
                 % self.set.balancers;
-            let (place, part) = ((place % c.spread) as f64, plan.at_once as f64 * slice);
-            let least = if self.now < c.sent_at + self.pause(c, r.service as usize) { 0.0 } else { 1.0 };
-            let whole = ((place + 1.0) * part).floor() - (place * part).floor();
-            return (c.attempts_out as f64) < whole.max(least);
+            let (index, part) = ((index % c.spread) as f64, plan.at_once as f64 * share);
+            let min = if self.now < c.sent_at + self.send_gap(c, r.service as usize) { 0.0 } else { 1.0 };
+            let whole = ((index + 1.0) * part).floor() - (index * part).floor();
+            return (c.in_flight as f64) < whole.max(min);
         }
         let aim = self.set.classes[r.class].aim_us as f64 / 1e6;
-        let cap = plan.rate * slice * aim + self.burst_here(c);
-        c.attempts_out == 0 || plan.rate == 0.0 || c.units_out + r.units <= cap || self.held_for(r)
+        let cap = plan.rate * share * aim + self.local_burst(c);
+        c.in_flight == 0 || plan.rate == 0.0 || c.units_in_flight + r.units <= cap || self.booking_has_room(r)
     }
 
-    /// A reading of the meter: the customer's use by all gateways, as a part of its quota.
-    pub(super) fn read(&mut self, key: u64, used: f64) {
+    /// Takes a meter reading: the customer's use over all gateways, as a fraction of its quota.
+    pub(super) fn record_reading(&mut self, key: u64, used: f64) {
         self.refill(key);
-        let sane = used >= 0.0 && used.is_finite();
-        let Some(c) = self.customers.get_mut(&key).filter(|_| sane) else { return };
-        if self.set.light_use_below > 0.0 && c.used <= FLOOD && used > FLOOD {
-            c.level = c.level.min(0.0); // what a calm reading let it save up is spent by now, elsewhere
+        let valid = used >= 0.0 && used.is_finite();
+        let Some(c) = self.customers.get_mut(&key).filter(|_| valid) else { return };
+        if self.set.light_use_below > 0.0 && c.used <= OVERUSE && used > OVERUSE {
+            c.tokens = c.tokens.min(0.0); // tokens saved under light use have been spent at other gateways
         }
-        // More use is believed at once, less over some periods: the reading is late, and room granted on
-        // a calm past is what a flood spends first.
-        let first = if self.set.plans[c.plan].rate > 0.0 { 1.0 - 1.0 / rarely(c.spread) } else { 0.0 };
-        let over = BELIEVE_OVER * rarely(c.spread) * self.set.meter_us.max(1) as f64;
-        let believe = c.used_at.map_or(first, |at| ((self.now - at) as f64 / over).min(1.0));
-        c.used += (used - c.used) * if used > c.used { 1.0 } else { believe };
+        // A higher reading applies at once, a lower one over some periods: readings are late, and a sudden
+        // flood would first spend the room granted for a quiet past.
+        let initial = if self.set.plans[c.plan].rate > 0.0 { 1.0 - 1.0 / reading_gap(c.spread) } else { 0.0 };
+        let blend_us = LOWER_READING_PERIODS * reading_gap(c.spread) * self.set.meter_us.max(1) as f64;
+        let weight = c.used_at.map_or(initial, |at| ((self.now - at) as f64 / blend_us).min(1.0));
+        c.used += (used - c.used) * if used > c.used { 1.0 } else { weight };
         c.used_at = Some(self.now);
     }
 }
 
-/// How much more rarely than with a few gateways each hears of a customer that comes through so many.
-fn rarely(spread: u32) -> f64 {
-    (spread as f64 / FEW).sqrt().max(1.0)
+/// How much longer than with few gateways one waits between readings of a customer of `spread` gateways.
+fn reading_gap(spread: u32) -> f64 {
+    (spread as f64 / FEW_GATEWAYS).sqrt().max(1.0)
 }
--- a/src/decide/booked.rs
+++ b/src/decide/booked.rs
@@ -1,92 +1,92 @@
-//! Room booked ahead: permits of a fleet that are here for the requests of a booking before all others. The gateway in
-//! service has no bookings, so nothing here is asked there; without a hold every figure is what it is without this file.
+//! Booked capacity: permits of a fleet that go to a booking's requests before all others. Without a hold, as
+//! in `curlewfront-gateway`, all decisions are the same as without this file.
 
 use super::records::{Decider, Fleet};
 use crate::interface::*;
 
-/// What is left to all others of the room here, however much is booked: a part of it, and the least.
-const OTHERS: f64 = 0.125;
-const OTHERS_LEAST: f64 = 1.0;
+/// What is left to other requests, however much is booked: a fraction of the room, and a minimum.
+const UNBOOKED_SHARE: f64 = 0.125;
+const UNBOOKED_MIN: f64 = 1.0;
 
 impl Decider {
-    /// Takes the place of all holds before. Requests keep the booking under which they came.
-    pub fn hold(&mut self, now: Micros, holds: &[Hold], acts: &mut Vec<Action>) {
+    /// Replaces all holds. Requests keep the booking under which they came.
+    pub fn hold(&mut self, now: Micros, holds: &[Hold], actions: &mut Vec<Action>) {
         for (n, fleet) in self.fleets.iter_mut().enumerate() {
             fleet.holds = holds.iter().filter(|h| h.service as usize == n).copied().collect();
         }
-        self.handle(now, Event::Timer { token: 0 }, acts);
+        self.handle(now, Event::Timer { token: 0 }, actions);
     }
 
-    /// How many may be out at a fleet for the next in line to be sent: no bound for one of a booking whose hold has
-    /// room, which is put first in line. What a hold keeps free is not for others.
+    /// How many attempts may be in flight at a fleet, counting the next one. If a hold has room, a request of
+    /// its booking is moved to the front and there is no bound. What a hold reserves is not for others.
     pub(super) fn room(&mut self, n: usize) -> f64 {
         let fleet = &self.fleets[n];
         if fleet.holds.is_empty() {
             return fleet.target(&self.set);
         }
         let (room, limits) = (fleet.room(&self.set), fleet.limits(&self.set));
-        let out = |booking| fleet.booked_out.get(&booking).copied().unwrap_or(0);
-        let (mut kept, mut used) = (0, 0);
+        let in_flight = |booking| fleet.booked_in_flight.get(&booking).copied().unwrap_or(0);
+        let (mut reserved, mut used) = (0, 0);
         let mut open = Vec::new();
         for (h, limit) in fleet.holds.iter().zip(limits) {
-            kept += h.reserved.min(limit).saturating_sub(out(h.booking));
-            used += limit.min(out(h.booking));
-            if out(h.booking) < limit {
+            reserved += h.reserved.min(limit).saturating_sub(in_flight(h.booking));
+            used += limit.min(in_flight(h.booking));
+            if in_flight(h.booking) < limit {
                 open.push(h.booking);
             }
         }
-        if !open.is_empty() && self.bring_first(n, &open) {
+        if !open.is_empty() && self.move_to_front(n, &open) {
             return f64::INFINITY;
         }
-        // What is held takes nothing from what others have at the least.
-        (room - f64::from(kept)).max(f64::from(used) + (OTHERS * room).max(OTHERS_LEAST))
+        // Holds leave others their minimum.
+        (room - f64::from(reserved)).max(f64::from(used) + (UNBOOKED_SHARE * room).max(UNBOOKED_MIN))
     }
 
-    /// Puts the first in line that came under one of these bookings before all others.
-    fn bring_first(&mut self, n: usize, open: &[u32]) -> bool {
+    /// Moves the first queued request of one of these bookings to the front.
+    fn move_to_front(&mut self, n: usize, open: &[u32]) -> bool {
         let Decider { fleets, customers, requests, .. } = self;
-        let ring = &mut fleets[n].ring;
-        for place in 0..ring.len() {
-            let key = ring[place];
+        let round_robin = &mut fleets[n].round_robin;
+        for place in 0..round_robin.len() {
+            let key = round_robin[place];
             let Some(c) = customers.get_mut(&key) else { continue };
-            let line = c.line(n);
-            let fits =
-                |id: &u64| requests.get(id).is_some_and(|r| r.waits && open.contains(&r.asked.booking));
-            let Some(at) = line.iter().position(fits) else { continue };
-            let id = line.remove(at).expect("just found");
-            line.push_front(id);
-            ring.remove(place);
-            ring.push_front(key);
+            let queue = c.queue(n);
+            let matches =
+                |id: &u64| requests.get(id).is_some_and(|r| r.queued && open.contains(&r.params.booking));
+            let Some(at) = queue.iter().position(matches) else { continue };
+            let id = queue.remove(at).expect("just found");
+            queue.push_front(id);
+            round_robin.remove(place);
+            round_robin.push_front(key);
             return true;
         }
         false
     }
 
-    /// Whether its booking has room for it here, whatever its customer has out.
-    pub(super) fn held_for(&self, r: &NewRequest) -> bool {
+    /// Whether its booking has room for it here, however much its customer has in flight.
+    pub(super) fn booking_has_room(&self, r: &NewRequest) -> bool {
         let fleet = &self.fleets[r.service as usize];
-        let out = fleet.booked_out.get(&r.booking).copied().unwrap_or(0);
+        let in_flight = fleet.booked_in_flight.get(&r.booking).copied().unwrap_or(0);
         let mut limits = fleet.holds.iter().zip(fleet.limits(&self.set));
-        limits.any(|(h, limit)| h.booking == r.booking && out < limit)
+        limits.any(|(h, limit)| h.booking == r.booking && in_flight < limit)
     }
 }
 
 impl Fleet {
-    /// The target and what the bookings' divisions move to this gateway or away from it: where a booking's requests come
-    /// in is more room, elsewhere less, and all gateways together have what they have without. Others keep their least.
+    /// The target plus what bookings move to this gateway, or less what they move away: gateways that receive
+    /// a booking's requests get more, the total over all gateways is unchanged. Others keep their minimum.
     fn room(&self, set: &Settings) -> f64 {
         let target = self.target(set);
         let moved: f64 = self.holds.iter().map(|h| h.moved).sum();
-        (target + moved).max(target.min((OTHERS * target).max(OTHERS_LEAST)))
+        (target + moved).max(target.min((UNBOOKED_SHARE * target).max(UNBOOKED_MIN)))
     }
 
     /// The room as a multiple of the target.
-    pub fn lift(&self, set: &Settings) -> f64 {
+    pub fn room_factor(&self, set: &Settings) -> f64 {
         if self.holds.is_empty() { 1.0 } else { self.room(set) / self.target(set) }
     }
 
-    /// How many of each hold's requests go before others: all it is to have, as far as the room goes; where it does not,
-    /// all holds are cut alike.
+    /// How many requests of each hold have priority: its full count, or all holds scaled down alike if the
+    /// room does not suffice.
     fn limits(&self, set: &Settings) -> Vec<u32> {
         let free = self.room(set);
         let all: u32 = self.holds.iter().map(|h| h.priority).sum();
@@ -94,14 +94,14 @@
         self.holds.iter().map(|h| (f64::from(h.priority) * scale) as u32).collect()
     }
 
-    /// One more is out; or, `back`, one less.
-    pub fn tally(&mut self, booking: u32, back: bool) {
-        self.load.out = if back { self.load.out - 1 } else { self.load.out + 1 };
+    /// Counts an attempt that was sent or, if `ended`, has ended.
+    pub fn count_attempt(&mut self, booking: u32, ended: bool) {
+        self.aimd.in_flight = if ended { self.aimd.in_flight - 1 } else { self.aimd.in_flight + 1 };
         if booking > 0 {
-            let out = self.booked_out.entry(booking).or_default();
-            *out = if back { out.saturating_sub(1) } else { *out + 1 };
-            if *out == 0 {
-                self.booked_out.remove(&booking);
+            let in_flight = self.booked_in_flight.entry(booking).or_default();
+            *in_flight = if ended { in_flight.saturating_sub(1) } else { *in_flight + 1 };
+            if *in_flight == 0 {
+                self.booked_in_flight.remove(&booking);
             }
         }
     }
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -1,140 +1,140 @@
-//! Which server a request goes to, and what the answers tell of each server.
+//! Server choice: least loaded of two random servers, by latency and errors learned from outcomes.
 
 use super::records::{Decider, Server, Tier};
-use super::target::LEARN;
+use super::target::EWMA_WEIGHT;
 use crate::interface::*;
 
-/// Who fails more than this is passed by while there are others; a failed connection weighs as much.
-const ILL: f64 = 0.5;
-/// Time over which what was learned of a server's speed fades, when nothing more is heard.
-const FORGET: f64 = 3e6;
-/// Servers that a gateway keeps to, for each request that it sends within that time, and the fewest; how slow
-/// an answer, as a multiple of the usual, ends that.
-const KEPT_TO: f64 = 0.3;
-const FEWEST: usize = 5;
-const SLOW_OVER: f64 = 4.0;
-/// Our work out at one server, as a multiple of its part of the target, at the most.
-const MOST_HELD: f64 = 2.0;
-/// How much more often a cold server is drawn while many are cold.
-const MOST_CROWDED: f64 = 1.5;
+/// Error rate from which a server is avoided while there are others; also the weight of a failed connection.
+const UNHEALTHY: f64 = 0.5;
+/// Time constant, in microseconds, with which latency and error rate decay without new outcomes.
+const FORGET_US: f64 = 3e6;
+/// Size of a gateway's subset of servers, per request sent within `FORGET_US`, and the smallest; an answer
+/// slower than `SLOW_FACTOR` times the fleet's average removes its server from the subset.
+const SUBSET_PER_SEND: f64 = 0.3;
+const SUBSET_MIN: usize = 5;
+const SLOW_FACTOR: f64 = 4.0;
+/// Most attempts in flight to one server, as a multiple of its share of the target.
+const MAX_LOAD_FACTOR: f64 = 2.0;
+/// Most by which the chance of a cold server is scaled up while many are cold.
+const MAX_COLD_BOOST: f64 = 1.5;
 
 impl Server {
-    /// What was learned of this server and still holds. Not heard of, it is soon taken for one like the
-    /// rest; else one that was slow once would never be tried again.
-    fn known(&self, now: Micros, learned: f64, usual: f64) -> f64 {
-        usual + (learned - usual) * (-((now - self.heard_at) as f64) / FORGET).exp()
+    /// A learned value, decayed to the usual one over time: else one that was slow once would stay unused.
+    fn decayed(&self, now: Micros, learned: f64, usual: f64) -> f64 {
+        usual + (learned - usual) * (-((now - self.updated_at) as f64) / FORGET_US).exp()
     }
-    fn ill(&self, now: Micros) -> bool {
-        self.known(now, self.bad, 0.0) >= ILL
+    fn unhealthy(&self, now: Micros) -> bool {
+        self.decayed(now, self.error_rate, 0.0) >= UNHEALTHY
     }
 }
 
 impl Tier {
-    /// A gateway keeps to so many servers, the first of `up`, that it hears of each some times before what it
-    /// learned of it fades. Who fails it or is slow gives its place to another, drawn from the whole fleet.
-    /// Guards against what hundreds of gateways do that meet each server seldom: each sends request after
-    /// request to a slow or failing server before it has learned of it, and opens connections to all of them.
-    /// It could harm where the few it keeps to turn bad together, until it has found others.
-    fn familiar(&self, now: Micros) -> usize {
-        ((self.lately_sent(now) * KEPT_TO) as usize).max(FEWEST).min(self.up.len())
+    /// Subsetting: only the first so many of `up` are used, few enough to hear from each several times before
+    /// what was learned decays. A failing or slow one is swapped for a random one outside. Without it, each
+    /// of hundreds of gateways would send a slow or failing server requests until it learns of that, and
+    /// connect to every server. Drawback: a subset that turns bad as a whole is replaced only step by step.
+    fn subset_size(&self, now: Micros) -> usize {
+        ((self.recent_sends(now) * SUBSET_PER_SEND) as usize).max(SUBSET_MIN).min(self.up.len())
     }
 
-    pub fn lately_sent(&self, now: Micros) -> f64 {
-        self.sent * (-((now - self.sent_at) as f64) / FORGET).exp()
+    pub fn recent_sends(&self, now: Micros) -> f64 {
+        self.sent * (-((now - self.sent_at) as f64) / FORGET_US).exp()
     }
 }
 
 impl Decider {
-    /// Of two random servers of the nearest tier that may have the request the one with less work of ours
-    /// for its speed; farther ones while all nearer ones are full, tried, ill, or have their part out. A cold
-    /// server is drawn as often as any other but takes its ramp's part of its draws, so all gateways together
-    /// send it that part of what a server gets, however few requests each of them has.
-    pub(super) fn pick(&mut self, id: u64) -> Option<u64> {
+    /// Of two random eligible servers of the nearest tier, the one with less work from here for its speed.
+    /// Farther tiers are used while all nearer servers are full, tried, unhealthy or at their share. A cold
+    /// server is drawn as often as any other but accepts only its ramp's fraction of draws, so all gateways
+    /// together send it that fraction of a full load, however few requests each of them has.
+    pub(super) fn pick_server(&mut self, id: u64) -> Option<u64> {
         let Decider { fleets, servers, requests, rng, set, now, .. } = self;
         let (set, now, r) = (&*set, *now, requests.get_mut(&id).expect("waits"));
-        let (lots, lots_drawn) = (r.attempts.len() + 1, r.lots);
-        r.lots = lots;
+        let (draws, draws_before) = (r.attempts.len() + 1, r.draws);
+        r.draws = draws;
         let (r, fleet) = (&*r, &mut fleets[r.fleet()]);
-        let (effect, mean) = (set.classes[r.asked.class].effect, fleet.load.mean);
-        // A server that turned slow must not fill up with our work.
-        let even = fleet.load.permits / set.balancers as f64 * fleet.lift(set);
-        let fits = |s: &Server| {
-            let room = (s.out as f64) < (MOST_HELD * even * s.share).max(1.0);
-            room && (now >= s.token_at || !s.metered(now, set)) && r.allows(s, effect, now)
+        let (effect, usual) = (set.classes[r.params.class].effect, fleet.aimd.latency);
+        // A server that turned slow must not fill up with our requests.
+        let even_share = fleet.aimd.permits / set.balancers as f64 * fleet.room_factor(set);
+        let usable = |s: &Server| {
+            let room = (s.in_flight as f64) < (MAX_LOAD_FACTOR * even_share * s.share).max(1.0);
+            room && (now >= s.token_at || !s.rate_limited(now, set)) && r.allows(s, effect, now)
         };
         let cost = |s: &Server| {
-            let served = 1.0 - s.known(now, s.bad, 0.0).min(0.9);
-            (s.out as f64 + 1.0) * s.known(now, s.latency, mean) / (served * served)
+            let served = 1.0 - s.decayed(now, s.error_rate, 0.0).min(0.9);
+            (s.in_flight as f64 + 1.0) * s.decayed(now, s.latency, usual) / (served * served)
         };
         let tried = |server: u64| r.attempts.iter().any(|a| a.server == server);
-        let mut last_resort: Option<((bool, bool, bool), u64)> = None;
-        for tier in fleet.tiers.iter_mut().take_while(|t| t.distance <= r.asked.max_distance) {
-            let (familiar, many) = (tier.familiar(now), tier.up.len());
+        let mut best_so_far: Option<((bool, bool, bool), u64)> = None;
+        for tier in fleet.tiers.iter_mut().take_while(|t| t.distance <= r.params.max_distance) {
+            let (subset, many) = (tier.subset_size(now), tier.up.len());
             let up = &mut tier.up;
-            let lot = rng.usize(0..many.max(1));
-            let ramp = up.get(lot).map(|k| &servers[k]).filter(|s| fits(s)).and_then(|s| s.ramp(now, set));
-            let crowded = (many as f64 / tier.warm).min(MOST_CROWDED);
-            if lots_drawn < lots && ramp.is_some_and(|ramp| rng.f64() < ramp * crowded) {
-                return Some(up[lot]);
+            let drawn = rng.usize(0..many.max(1));
+            let ramp =
+                up.get(drawn).map(|k| &servers[k]).filter(|s| usable(s)).and_then(|s| s.ramp(now, set));
+            let boost = (many as f64 / tier.warm).min(MAX_COLD_BOOST);
+            if draws_before < draws && ramp.is_some_and(|ramp| rng.f64() < ramp * boost) {
+                return Some(up[drawn]);
             }
             let mut found: Option<(f64, u64)> = None;
             for n in 0..many {
-                up.swap(n, rng.usize(n..if n < familiar { familiar } else { many }));
+                up.swap(n, rng.usize(n..if n < subset { subset } else { many }));
                 let s = &servers[&up[n]];
-                if s.ramp(now, set).is_some() || !fits(s) {
+                if s.ramp(now, set).is_some() || !usable(s) {
                     continue;
                 }
                 let next = (cost(s) * if tried(up[n]) { f64::MAX.sqrt() } else { 1.0 }, up[n]);
                 let second = found.is_some();
                 let best = found.filter(|one| one.0 <= next.0).unwrap_or(next);
                 found = Some(best);
-                if second && !servers[&best.1].ill(now) {
+                if second && !servers[&best.1].unhealthy(now) {
                     break;
                 }
             }
             let Some((_, server)) = found else { continue };
             let s = &servers[&server];
-            let faults = (tried(server), s.ill(now), s.out as f64 >= (even * s.share).max(1.0));
-            if last_resort.is_none_or(|l| faults < l.0) {
-                last_resort = Some((faults, server));
+            let drawbacks =
+                (tried(server), s.unhealthy(now), s.in_flight as f64 >= (even_share * s.share).max(1.0));
+            if best_so_far.is_none_or(|l| drawbacks < l.0) {
+                best_so_far = Some((drawbacks, server));
             }
-            if faults == (false, false, false) {
+            if drawbacks == (false, false, false) {
                 break;
             }
         }
-        last_resort.map(|l| l.1)
+        best_so_far.map(|l| l.1)
     }
 
-    pub(super) fn learn(&mut self, server: u64, outcome: Outcome, taken: f64, late: bool) {
+    pub(super) fn record_outcome(&mut self, server: u64, outcome: Outcome, latency: f64, late: bool) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         let several = self.fleets.len() > 1;
         let fleet = &mut self.fleets[s.fleet];
-        let load = &mut fleet.load;
-        let bad = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent);
-        if outcome == Outcome::Ok || (outcome != Outcome::NotSent && taken > s.latency) {
-            s.latency = s.known(self.now, s.latency, load.mean);
-            s.latency += (taken - s.latency) * LEARN;
+        let aimd = &mut fleet.aimd;
+        let failed = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent);
+        if outcome == Outcome::Ok || (outcome != Outcome::NotSent && latency > s.latency) {
+            s.latency = s.decayed(self.now, s.latency, aimd.latency);
+            s.latency += (latency - s.latency) * EWMA_WEIGHT;
         }
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             return;
         }
-        if !bad {
-            load.took(taken);
+        if !failed {
+            aimd.record_latency(latency);
         }
-        let unwell = bad || taken > SLOW_OVER * load.mean;
-        s.bad = s.known(self.now, s.bad, 0.0);
-        s.bad += (f64::from(bad) - s.bad) * if outcome == Outcome::ConnectFailed { ILL } else { LEARN };
-        s.heard_at = self.now;
-        // One fleet is judged by all classes; of several each by those that come for it.
+        let poor = failed || latency > SLOW_FACTOR * aimd.latency;
+        s.error_rate = s.decayed(self.now, s.error_rate, 0.0);
+        s.error_rate += (f64::from(failed) - s.error_rate)
+            * if outcome == Outcome::ConnectFailed { UNHEALTHY } else { EWMA_WEIGHT };
+        s.updated_at = self.now;
+        // A single fleet uses the aims of all classes; one of several only those of the requests it gets.
         let aim = self.set.classes.iter().map(|c| c.aim_us).max().unwrap_or(0);
         let aim = if several { fleet.aim } else { aim };
-        load.ended(self.now, aim, server, outcome, bad || late);
+        aimd.record_outcome(self.now, aim, server, outcome, failed || late);
         let tier = fleet.tier(s.distance);
-        let (familiar, many) = (tier.familiar(self.now), tier.up.len());
-        let place =
-            (unwell && familiar < many).then(|| tier.up[..familiar].iter().position(|k| *k == server));
-        if let Some(Some(n)) = place {
-            tier.up.swap(n, self.rng.usize(familiar..many));
+        let (subset, many) = (tier.subset_size(self.now), tier.up.len());
+        let position = (poor && subset < many).then(|| tier.up[..subset].iter().position(|k| *k == server));
+        if let Some(Some(n)) = position {
+            tier.up.swap(n, self.rng.usize(subset..many));
         }
     }
 }
--- a/src/decide/cold.rs
+++ b/src/decide/cold.rs
@@ -1,39 +1,39 @@
-//! Slow start: a server that has just started, or comes back, bears little at first.
+//! Slow start: a server that has just started, or comes back, gets little load at first.
 
 use super::records::Server;
 use crate::interface::*;
 
-/// Work for a cold server, as a part of what makes it fall.
-const COLD_PART: f64 = 0.5;
+/// Load given to a cold server, as a fraction of the load at which it fails (`fall_multiple`).
+const COLD_LOAD: f64 = 0.5;
 
 impl Server {
     fn cold_until(&self, set: &Settings) -> Micros {
         let by_start = if self.up_since > 0 { self.up_since.saturating_add(set.cold_us) } else { 0 };
-        if self.told_cold_until > 0 { self.told_cold_until } else { by_start }
+        if self.listed_cold_until > 0 { self.listed_cold_until } else { by_start }
     }
 
-    /// The part of a warm server's work that a cold one is given, where no rate is told for it.
+    /// The fraction of a warm server's load that a cold one gets; None if warm or limited by a rate.
     pub fn ramp(&self, now: Micros, set: &Settings) -> Option<f64> {
         let until = self.cold_until(set);
         let age = now.saturating_sub(until.saturating_sub(set.cold_us)) as f64 / set.cold_us.max(1) as f64;
-        let part = (set.fall_multiple * COLD_PART).min(1.0) * (set.cold_from + (1.0 - set.cold_from) * age);
+        let part = (set.fall_multiple * COLD_LOAD).min(1.0) * (set.cold_from + (1.0 - set.cold_from) * age);
         (now < until && self.cold_rate <= 0.0).then_some(part)
     }
 
-    /// Whether it is cold and has a rate instead of the ramp: a bucket with room for one request.
-    pub fn metered(&self, now: Micros, set: &Settings) -> bool {
+    /// Whether it is cold and limited by a rate instead of the ramp: a token bucket that holds one request.
+    pub fn rate_limited(&self, now: Micros, set: &Settings) -> bool {
         self.cold_rate > 0.0 && now < self.cold_until(set)
     }
 
     /// The time in which that bucket fills.
-    pub fn token_us(&self) -> Micros {
+    pub fn token_interval(&self) -> Micros {
         (1e6 / self.cold_rate).ceil() as Micros
     }
 
-    /// What it adds to its fleet, in warm servers of which this gateway has an even part: a cold one its
-    /// ramp, or what its rate has out at once (Little's law), `each` being the time of an answer by permits.
-    pub fn worth(&self, now: Micros, set: &Settings, each: f64) -> f64 {
+    /// Its capacity, in warm servers of which this gateway has an even share: a cold one counts by its ramp,
+    /// or by what its rate keeps in flight (Little's law); `each` is latency (s) x gateways / permits.
+    pub fn capacity(&self, now: Micros, set: &Settings, each: f64) -> f64 {
         let warm = self.ramp(now, set).unwrap_or(1.0) * self.share;
-        if self.metered(now, set) { (self.cold_rate * each).min(warm) } else { warm }
+        if self.rate_limited(now, set) { (self.cold_rate * each).min(warm) } else { warm }
     }
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,19 +1,20 @@
-//! The fleets: which servers each service has, as discovery lists them, and what stands for each fleet.
+//! The fleets: the servers of each service as discovery lists them, and each fleet's capacity.
 
 use super::records::{Decider, Fleet, Server, Task, Tier};
-use super::{target::Target, target::WINDOW, tries::RETRY};
+use super::{target::Aimd, target::WINDOW_US, tries::DEFAULT_RETRY_BUDGET};
 use crate::interface::*;
 use std::collections::BTreeMap;
 
 impl Fleet {
     pub fn new(set: &Settings) -> Fleet {
         let aim = set.classes.iter().map(|c| c.aim_us).min().unwrap_or(1) as f64;
-        let (tiers, load) = (vec![Tier::default()], Target::new(aim));
-        Fleet { tiers, load, retries: set.retry_budget.unwrap_or(RETRY)[1], ..Fleet::default() }
+        let (tiers, aimd) = (vec![Tier::default()], Aimd::new(aim));
+        let retry_tokens = set.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)[1];
+        Fleet { tiers, aimd, retry_tokens, ..Fleet::default() }
     }
 
     pub fn target(&self, set: &Settings) -> f64 {
-        self.load.at(self.strength, set.balancers)
+        self.aimd.target(self.capacity, set.balancers)
     }
 
     pub fn tier(&mut self, distance: u32) -> &mut Tier {
@@ -24,35 +25,35 @@
         &mut self.tiers[place]
     }
 
-    /// How many warm servers the fleet is worth.
-    fn count(&mut self, now: Micros, set: &Settings, servers: &BTreeMap<u64, Server>) {
-        let each = self.load.mean / 1e6 * set.balancers as f64 / self.load.permits;
-        self.strength = 0.0;
+    /// Recomputes the fleet's capacity, in warm servers.
+    fn update_capacity(&mut self, now: Micros, set: &Settings, servers: &BTreeMap<u64, Server>) {
+        let each = self.aimd.latency / 1e6 * set.balancers as f64 / self.aimd.permits;
+        self.capacity = 0.0;
         for t in &mut self.tiers {
             t.warm = t.up.iter().map(|k| servers[k].ramp(now, set).unwrap_or(1.0)).sum();
-            self.strength += t.up.iter().map(|k| servers[k].worth(now, set, each)).sum::<f64>();
+            self.capacity += t.up.iter().map(|k| servers[k].capacity(now, set, each)).sum::<f64>();
         }
-        self.counted_at = now;
+        self.capacity_at = now;
     }
 
-    pub fn grow(&mut self, now: Micros, set: &Settings, servers: &BTreeMap<u64, Server>) {
-        if now >= self.counted_at + WINDOW / 4 {
-            self.count(now, set, servers);
+    pub fn update(&mut self, now: Micros, set: &Settings, servers: &BTreeMap<u64, Server>) {
+        if now >= self.capacity_at + WINDOW_US / 4 {
+            self.update_capacity(now, set, servers);
         }
-        self.load.grow(now, self.strength, set.balancers);
+        self.aimd.grow(now, self.capacity, set.balancers);
     }
 }
 
 impl Decider {
-    pub(super) fn listed(&mut self, kind: ListKind, entries: &[Entry]) {
+    pub(super) fn update_servers(&mut self, kind: ListKind, entries: &[Entry]) {
         if kind == ListKind::Failed {
-            // Asked again ever more slowly, yet well within the time after which we count as told.
-            self.asks_failed = (self.asks_failed + 1).min(3);
-            let wait = (self.set.ask_within_us / 16).clamp(1, 60_000_000) << self.asks_failed;
-            self.agenda.insert((self.now + wait + self.rng.u64(0..=wait / 4), Task::Ask));
+            // Exponential backoff with jitter, well within the time after which a gateway counts as informed.
+            self.subscribe_failures = (self.subscribe_failures + 1).min(3);
+            let wait = (self.set.ask_within_us / 16).clamp(1, 60_000_000) << self.subscribe_failures;
+            self.tasks.insert((self.now + wait + self.rng.u64(0..=wait / 4), Task::Subscribe));
             return;
         }
-        self.asks_failed = 0;
+        self.subscribe_failures = 0;
         if kind != ListKind::Changes {
             self.servers.values_mut().for_each(|s| s.up = false);
         }
@@ -60,20 +61,20 @@
             let s = self.servers.entry(e.server).or_default();
             let fleet = e.service as usize;
             if s.latency == 0.0 || e.up_since_us > s.up_since || fleet != s.fleet {
-                // New, or started anew: nothing learned of the process before it holds.
-                let (out, latency) = (s.out, self.fleets[fleet].load.mean);
-                *s = Server { out, latency, fleet, ..Server::default() };
+                // New or restarted: what was learned of the process before it no longer applies.
+                let (in_flight, latency) = (s.in_flight, self.fleets[fleet].aimd.latency);
+                *s = Server { in_flight, latency, fleet, ..Server::default() };
             }
-            let was_metered = s.metered(self.now, &self.set);
+            let was_rate_limited = s.rate_limited(self.now, &self.set);
             (s.zone, s.cell, s.up, s.up_since) = (e.zone, e.cell, e.state == State::Up, e.up_since_us);
             s.share = if e.share.is_finite() { e.share.max(0.0) } else { 1.0 };
-            (s.distance, s.cold_rate, s.told_cold_until) = (e.distance, e.cold_rate, e.cold_until_us);
-            if s.metered(self.now, &self.set) && !was_metered {
-                // All gateways learn of it at once, and are not to send it their first at once.
-                s.token_at = self.now + self.rng.u64(0..=s.token_us());
+            (s.distance, s.cold_rate, s.listed_cold_until) = (e.distance, e.cold_rate, e.cold_until_us);
+            if s.rate_limited(self.now, &self.set) && !was_rate_limited {
+                // All gateways learn of it at the same time: spreads their first requests to it.
+                s.token_at = self.now + self.rng.u64(0..=s.token_interval());
             }
         }
-        self.servers.retain(|_, s| s.up || s.out > 0);
+        self.servers.retain(|_, s| s.up || s.in_flight > 0);
         for (n, fleet) in self.fleets.iter_mut().enumerate() {
             for t in &mut fleet.tiers {
                 let here = |s: &Server| s.up && (s.fleet, s.distance) == (n, t.distance);
@@ -83,9 +84,9 @@
         for (k, s) in self.servers.iter().filter(|(_, s)| s.up) {
             let up = &mut self.fleets[s.fleet].tier(s.distance).up;
             if !up.contains(k) {
-                up.insert(self.rng.usize(0..=up.len()), *k); // all places are as likely
+                up.insert(self.rng.usize(0..=up.len()), *k); // each position is equally likely
             }
         }
-        self.fleets.iter_mut().for_each(|f| f.count(self.now, &self.set, &self.servers));
+        self.fleets.iter_mut().for_each(|f| f.update_capacity(self.now, &self.set, &self.servers));
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,9 +1,8 @@
-//! All decisions of a curlewfront gateway, and every tuned value. Its types, events and actions stand in
-//! `interface.rs`. The module does no I/O, reads no clock and shares nothing: equal events, equal actions.
+//! Admission control and load balancing, without I/O, clock or shared state: equal events give equal actions.
 //!
-//! The path of a request: `admit` (token bucket of its customer) -> its line, one for each customer and fleet
-//! -> `pump` (cap on what the customer has out, target of the fleet, ceiling) -> `pick` -> `returned`
-//! (answer, or a further attempt on the retry budget) -> `close`. docs/design.md tells why.
+//! Path of a request: `admit` (token bucket of its customer) -> its queue, one per customer and fleet ->
+//! `dispatch` (cap on the customer's work in flight, target concurrency of the fleet, ceiling) ->
+//! `pick_server` -> `attempt_ended` (answer, or a retry within the budget) -> `close`. See docs/design.md.
 
 mod admission;
 mod booked;
@@ -19,149 +18,148 @@
 use records::{Fleet, Task};
 
 impl Decider {
-    /// Takes new settings while requests are open. Classes, plans and services keep their numbers: they are
-    /// appended or changed in place.
+    /// Applies new settings while requests are open. Classes, plans and services keep their numbers.
     pub fn reconfigure(&mut self, set: Settings) -> Result<(), SettingsError> {
         set.check()?;
         if set.classes.len() < self.set.classes.len() || set.plans.len() < self.set.plans.len() {
             return Err(SettingsError("classes and plans may be appended or changed, not taken away"));
         }
-        // What was earned so far was earned under the old rates.
+        // Credits the tokens accrued so far at the old rates.
         let keys: Vec<u64> = self.customers.keys().copied().collect();
         keys.into_iter().for_each(|key| _ = self.refill(key));
         for c in self.customers.values_mut().filter(|c| self.set.plans[c.plan].rate == 0.0) {
-            c.level = f64::INFINITY; // what was used without a quota is held against nobody
+            c.tokens = f64::INFINITY; // use from before there was a quota does not count against it
         }
-        self.usual_left.resize(set.classes.len(), (0, 0));
+        self.usual_time_left.resize(set.classes.len(), (0, 0));
         let fleets = self.fleets.len().max(set.services.max(1) as usize);
         self.fleets.resize_with(fleets, || Fleet::new(&set));
         self.set = set;
         Ok(())
     }
 
-    /// Takes one event and adds what is to be done about it to `acts`.
-    pub fn handle(&mut self, now: Micros, event: Event, acts: &mut Vec<Action>) {
+    /// Handles one event and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.started.is_none() {
             self.started = Some(now);
-            self.agenda.extend(self.set.ask_for_list.then_some((now, Task::Ask)));
+            self.tasks.extend(self.set.ask_for_list.then_some((now, Task::Subscribe)));
         }
-        self.fleets.iter_mut().for_each(|f| f.grow(self.now, &self.set, &self.servers));
+        self.fleets.iter_mut().for_each(|f| f.update(self.now, &self.set, &self.servers));
         match event {
-            Event::List { kind, entries } => self.listed(kind, &entries),
-            Event::Request(r) => self.admit(r, acts),
-            Event::Started { id, .. } => self.began(id),
+            Event::List { kind, entries } => self.update_servers(kind, &entries),
+            Event::Request(r) => self.admit(r, actions),
+            Event::Started { id, .. } => self.response_started(id),
             Event::AttemptEnded(r) => {
-                // An answer past the aim is a time-out in all but name, also where it still earns something.
+                // An answer past the aim counts as a time-out, even where it still has some worth.
                 let late = self.requests.get(&r.id).is_some_and(|q| self.now > q.best_by);
-                self.learn(r.server, r.outcome, r.latency_us as f64, late);
-                self.returned(r, acts);
+                self.record_outcome(r.server, r.outcome, r.latency_us as f64, late);
+                self.attempt_ended(r, actions);
             }
             Event::Withdrawn { id } => {
-                self.turn_away();
-                self.close(id, None, acts);
+                self.record_unserved();
+                self.close(id, None, actions);
             }
             Event::MeterReading { customer, used } => {
-                self.read(customer, used);
-                self.line_up(customer, None, false);
+                self.record_reading(customer, used);
+                self.schedule_customer(customer, None, false);
             }
             Event::Timer { .. } => {}
         }
-        while let Some(&(at, task)) = self.agenda.first()
-            && (at <= self.now || !self.live(task))
+        while let Some(&(at, task)) = self.tasks.first()
+            && (at <= self.now || !self.is_pending(task))
         {
-            self.agenda.remove(&(at, task));
-            self.due(task, acts);
+            self.tasks.remove(&(at, task));
+            self.run_task(task, actions);
         }
         for fleet in 0..self.fleets.len() {
-            self.pump(fleet, acts);
+            self.dispatch(fleet, actions);
         }
-        if let Some(&(at, _)) = self.agenda.first()
-            && self.armed.is_none_or(|armed| at < armed || armed <= self.now)
+        if let Some(&(at, _)) = self.tasks.first()
+            && self.next_wakeup.is_none_or(|next| at < next || next <= self.now)
         {
-            self.armed = Some(at);
-            acts.push(Action::Timer { at_us: at, token: 0 });
+            self.next_wakeup = Some(at);
+            actions.push(Action::Timer { at_us: at, token: 0 });
         }
     }
 
-    /// Whether a task still has something to do; for one that has not nobody is woken.
-    fn live(&self, task: Task) -> bool {
-        let Task::End(id) = task else { return true };
+    /// Whether a task still has work to do; no wakeup is requested for one that has none.
+    fn is_pending(&self, task: Task) -> bool {
+        let Task::Expire(id) = task else { return true };
         self.requests.get(&id).is_some_and(|r| !r.done && !r.streaming)
     }
 
-    fn due(&mut self, task: Task, acts: &mut Vec<Action>) {
+    fn run_task(&mut self, task: Task, actions: &mut Vec<Action>) {
         match task {
-            _ if !self.live(task) => {}
-            Task::End(id) => {
+            _ if !self.is_pending(task) => {}
+            Task::Expire(id) => {
                 let r = &self.requests[&id];
-                let needs = self.fleets[r.fleet()].load.needs();
-                let last = if r.waits { r.best_by.saturating_sub(needs) } else { r.end };
-                if last <= self.now {
-                    self.give_up(id, acts);
+                let likely = self.fleets[r.fleet()].aimd.likely_latency();
+                let expires_at = if r.queued { r.best_by.saturating_sub(likely) } else { r.deadline };
+                if expires_at <= self.now {
+                    self.give_up(id, actions);
                 } else {
-                    self.agenda.insert((last, task));
+                    self.tasks.insert((expires_at, task));
                 }
             }
-            Task::Ready(key, fleet) => self.line_up(key, Some(fleet), false),
-            Task::Ask => acts.push(Action::Watch),
+            Task::Resume(key, fleet) => self.schedule_customer(key, Some(fleet), false),
+            Task::Subscribe => actions.push(Action::Watch),
         }
     }
 
-    /// The target concurrency here, of all fleets together.
+    /// This gateway's target concurrency, summed over all fleets.
     pub fn target(&self) -> f64 {
         self.fleets.iter().map(|f| f.target(&self.set)).sum()
     }
 
-    /// Puts a customer that waits into the ring of one fleet, or of all that it waits for.
-    fn line_up(&mut self, key: u64, only: Option<usize>, at_front: bool) {
+    /// Adds a customer with queued requests to the round robin of one fleet, or of all fleets it waits for.
+    fn schedule_customer(&mut self, key: u64, only: Option<usize>, at_front: bool) {
         let Some(c) = self.customers.get_mut(&key) else { return };
-        let asked = |fleet| only.is_none_or(|only| only == fleet);
-        for l in c.lines.iter_mut().filter(|l| !l.in_ring && !l.waiting.is_empty() && asked(l.fleet)) {
-            l.in_ring = true;
-            let ring = &mut self.fleets[l.fleet].ring;
-            if at_front { ring.push_front(key) } else { ring.push_back(key) }
+        let wanted = |fleet| only.is_none_or(|only| only == fleet);
+        for q in c.queues.iter_mut().filter(|q| !q.scheduled && !q.waiting.is_empty() && wanted(q.fleet)) {
+            q.scheduled = true;
+            let round_robin = &mut self.fleets[q.fleet].round_robin;
+            if at_front { round_robin.push_front(key) } else { round_robin.push_back(key) }
         }
     }
 
-    /// Sends what waits, one of each customer in turn, while the target has room.
-    fn pump(&mut self, n: usize, acts: &mut Vec<Action>) {
-        while f64::from(self.fleets[n].load.out + 1) <= self.room(n) {
-            let Some(key) = self.fleets[n].ring.pop_front() else { return };
+    /// Sends queued requests, one per customer in turn, while the target concurrency has room.
+    fn dispatch(&mut self, n: usize, actions: &mut Vec<Action>) {
+        while f64::from(self.fleets[n].aimd.in_flight + 1) <= self.room(n) {
+            let Some(key) = self.fleets[n].round_robin.pop_front() else { return };
             let Some(c) = self.customers.get_mut(&key) else { continue };
-            let Some(line) = c.lines.iter_mut().find(|l| l.fleet == n) else { continue };
-            line.in_ring = false;
-            while line.waiting.front().is_some_and(|id| !self.requests.get(id).is_some_and(|r| r.waits)) {
-                line.waiting.pop_front();
+            let Some(queue) = c.queues.iter_mut().find(|q| q.fleet == n) else { continue };
+            queue.scheduled = false;
+            while queue.waiting.front().is_some_and(|id| !self.requests.get(id).is_some_and(|r| r.queued)) {
+                queue.waiting.pop_front();
             }
-            let Some(&id) = line.waiting.front() else { continue };
+            let Some(&id) = queue.waiting.front() else { continue };
             self.refill(key);
             let (c, r) = (&self.customers[&key], &self.requests[&id]);
-            if !self.under_cap(c, &r.asked) {
-                let free_at = c.sent_at + self.pause(c, n);
-                if c.attempts_out == 0 && free_at + self.fleets[n].load.needs() > r.best_by {
-                    self.give_up(id, acts);
-                } else if c.attempts_out == 0 {
-                    self.agenda.insert((free_at, Task::Ready(key, n)));
+            if !self.under_cap(c, &r.params) {
+                let free_at = c.sent_at + self.send_gap(c, n);
+                if c.in_flight == 0 && free_at + self.fleets[n].aimd.likely_latency() > r.best_by {
+                    self.give_up(id, actions);
+                } else if c.in_flight == 0 {
+                    self.tasks.insert((free_at, Task::Resume(key, n)));
                 }
-                continue; // lines up again when one of its attempts ends
+                continue; // scheduled again when one of its attempts ends
             }
             let plan = &self.set.plans[c.plan];
-            let short = if r.attempts.is_empty() { r.asked.units - c.ceiling } else { 0.0 };
-            if plan.ceiling_rate > 0.0 && short > 0.0 {
-                let wait = short * c.spread as f64 / plan.ceiling_rate * 1e6;
-                self.agenda.insert((self.now + wait as Micros + 1, Task::Ready(key, n)));
+            let missing = if r.attempts.is_empty() { r.params.units - c.ceiling_tokens } else { 0.0 };
+            if plan.ceiling_rate > 0.0 && missing > 0.0 {
+                let wait = missing * c.spread as f64 / plan.ceiling_rate * 1e6;
+                self.tasks.insert((self.now + wait as Micros + 1, Task::Resume(key, n)));
                 continue;
             }
-            let Some(server) = self.pick(id) else {
-                // No server may have it now: it waits without holding up the other customers.
-                let wait = (self.fleets[n].load.mean as Micros / 8).max(self.set.tick_us).max(1);
-                self.agenda.insert((self.now + wait, Task::Ready(key, n)));
+            let Some(server) = self.pick_server(id) else {
+                // No server is eligible now: it waits without blocking other customers.
+                let wait = (self.fleets[n].aimd.latency as Micros / 8).max(self.set.tick_us).max(1);
+                self.tasks.insert((self.now + wait, Task::Resume(key, n)));
                 continue;
             };
-            self.send(id, server, acts);
-            self.customers.get_mut(&key).expect("just seen").line(n).pop_front();
-            self.line_up(key, Some(n), false);
+            self.send(id, server, actions);
+            self.customers.get_mut(&key).expect("just seen").queue(n).pop_front();
+            self.schedule_customer(key, Some(n), false);
         }
     }
 }
--- a/src/decide/records.rs
+++ b/src/decide/records.rs
@@ -1,43 +1,43 @@
-//! What a gateway remembers: plain records without a decision or a tuned value, and their start.
+//! State of a gateway's decisions: plain records without logic or tuned constants, and their initial values.
 
-use super::target::Target;
+use super::target::Aimd;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Task {
-    /// A waiting request can no longer be answered in time, or the time of another is up.
-    End(u64),
-    /// A customer that was held up may be tried again at a fleet.
-    Ready(u64, usize),
-    /// Discovery is to be asked.
-    Ask,
+    /// A queued request can no longer be answered in time, or another has reached its deadline.
+    Expire(u64),
+    /// A delayed customer may be scheduled again at a fleet.
+    Resume(u64, usize),
+    /// Subscribe to the list of servers.
+    Subscribe,
 }
 
-/// One gateway's decisions.
+/// Admission control and load balancing of one gateway.
 pub struct Decider {
     pub(super) set: Settings,
     pub(super) rng: fastrand::Rng,
     pub(super) now: Micros,
     pub(super) started: Option<Micros>,
     pub(super) servers: BTreeMap<u64, Server>,
-    /// One for each service.
+    /// One per service.
     pub(super) fleets: Vec<Fleet>,
     pub(crate) customers: HashMap<u64, Customer>,
     pub(crate) requests: HashMap<u64, Request>,
-    /// All customers, looked through a few at a time for those that can be forgotten.
-    pub(super) roster: VecDeque<u64>,
-    pub(super) agenda: BTreeSet<(Micros, Task)>,
-    pub(super) armed: Option<Micros>,
-    pub(super) asks_failed: u32,
-    /// For each class the time that first tries usually have left, and how sure that is.
-    pub(super) usual_left: Vec<(Micros, u32)>,
-    /// Requests that ended unserved and may come again.
-    pub(super) turned_away: u32,
+    /// All customers, checked a few at a time for those that can be forgotten.
+    pub(super) eviction_queue: VecDeque<u64>,
+    pub(super) tasks: BTreeSet<(Micros, Task)>,
+    pub(super) next_wakeup: Option<Micros>,
+    pub(super) subscribe_failures: u32,
+    /// Per class: the time that first tries usually have left, and the confidence in it.
+    pub(super) usual_time_left: Vec<(Micros, u32)>,
+    /// Requests that ended unserved, so may be retried by their clients.
+    pub(super) unserved: u32,
 }
 
 impl Decider {
-    /// How long this gateway has been at work, in seconds.
+    /// Seconds since the first event.
     pub(super) fn age(&self) -> f64 {
         (self.now - self.started.unwrap_or(self.now)) as f64 / 1e6
     }
@@ -52,46 +52,46 @@
             fleets: Vec::new(),
             customers: HashMap::new(),
             requests: HashMap::new(),
-            roster: VecDeque::new(),
-            agenda: BTreeSet::new(),
-            armed: None,
-            asks_failed: 0,
-            turned_away: 0,
-            usual_left: Vec::new(),
+            eviction_queue: VecDeque::new(),
+            tasks: BTreeSet::new(),
+            next_wakeup: None,
+            subscribe_failures: 0,
+            unserved: 0,
+            usual_time_left: Vec::new(),
         };
         new.reconfigure(set)?;
         Ok(new)
     }
 }
 
-/// The servers of one service, and what was learned of them together.
+/// The servers of one service and their shared state.
 #[derive(Default)]
 pub struct Fleet {
-    /// Those that are up, the nearest first.
+    /// Servers that are up, nearest tier first.
     pub tiers: Vec<Tier>,
-    /// What they are worth in warm ones of which this gateway has an even part, as counted last.
-    pub strength: f64,
-    pub counted_at: Micros,
-    pub load: Target,
-    /// Customers with a request that may be next, each at most once. Who comes new goes first, as most time
-    /// is left to it; who was served goes last. First come first served would send all too late in a jam.
-    pub ring: VecDeque<u64>,
-    /// Further attempts that may be made.
-    pub retries: f64,
-    /// The longest aim of the requests that came for it.
+    /// Capacity in warm servers of which this gateway has an even share, and when it was computed.
+    pub capacity: f64,
+    pub capacity_at: Micros,
+    pub aimd: Aimd,
+    /// Customers whose next request may be sent, each at most once. A new arrival goes first, as it has the
+    /// most time left, one just served goes last. First come, first served would make all late in overload.
+    pub round_robin: VecDeque<u64>,
+    /// Tokens of the retry budget.
+    pub retry_tokens: f64,
+    /// The longest aim among the classes of its requests.
     pub aim: Micros,
-    /// What bookings hold of it here, and how many attempts of each booking are out.
+    /// Capacity held for bookings here, and each booking's attempts in flight.
     pub holds: Vec<Hold>,
-    pub booked_out: BTreeMap<u32, u32>,
+    pub booked_in_flight: BTreeMap<u32, u32>,
 }
 
-/// Servers that are as near as each other.
+/// Servers at the same distance.
 #[derive(Default)]
 pub struct Tier {
     pub distance: u32,
-    /// In an order that `pick` shuffles as it draws.
+    /// Shuffled by `pick_server` as it draws; the first ones are this gateway's subset.
     pub up: Vec<u64>,
-    /// What they are worth in warm ones, as counted last; what was sent lately, as a moving sum.
+    /// Sum of the servers' ramps, and a decaying count of the requests sent.
     pub warm: f64,
     pub sent: f64,
     pub sent_at: Micros,
@@ -102,26 +102,26 @@
     pub plan: usize,
     pub spread: u32,
     pub first_gateway: u32,
-    /// Levels of its bucket and of its ceiling's store here.
-    pub level: f64,
-    pub ceiling: f64,
-    pub filled_at: Micros,
-    pub units_out: f64,
-    pub attempts_out: u32,
-    /// What waits for each fleet that it has asked of.
-    pub lines: Vec<Line>,
+    /// Tokens in its bucket and in that of its ceiling.
+    pub tokens: f64,
+    pub ceiling_tokens: f64,
+    pub refilled_at: Micros,
+    pub units_in_flight: f64,
+    pub in_flight: u32,
+    /// Queued requests for each fleet.
+    pub queues: Vec<Queue>,
     pub sent_at: Micros,
-    /// What the meter says is used of the quota, and when.
+    /// The fraction of the quota used, by meter readings, and the time of the last one.
     pub used: f64,
     pub used_at: Option<Micros>,
 }
 
-/// A customer's requests that wait for one fleet, and whether the fleet's ring holds it.
+/// A customer's queued requests for one fleet, and whether it is in the fleet's round robin.
 #[derive(Default)]
-pub struct Line {
+pub struct Queue {
     pub fleet: usize,
     pub waiting: VecDeque<u64>,
-    pub in_ring: bool,
+    pub scheduled: bool,
 }
 
 pub struct Attempt {
@@ -129,20 +129,20 @@
     pub zone: u32,
     pub cell: u32,
     pub sent_at: Micros,
-    pub out: bool,
+    pub in_flight: bool,
     pub may_have_run: bool,
 }
 
 pub struct Request {
-    /// What was asked, its units made sane.
-    pub asked: NewRequest,
-    /// An answer by `best_by` earns its full worth, one after `end` nothing.
+    /// The request as received, its units made finite and not negative.
+    pub params: NewRequest,
+    /// An answer by `best_by` has its full worth, one after `deadline` none.
     pub best_by: Micros,
-    pub end: Micros,
+    pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// Lots drawn for a cold server, one for each attempt.
-    pub lots: usize,
-    pub waits: bool,
+    /// Draws made that may pick a cold server, at most one per attempt.
+    pub draws: usize,
+    pub queued: bool,
     pub streaming: bool,
     pub done: bool,
 }
@@ -156,23 +156,23 @@
     pub share: f64,
     pub up: bool,
     pub up_since: Micros,
-    /// What was told of its being cold, and when it may be sent the next request then.
-    pub told_cold_until: Micros,
+    /// Its listed cold phase, and when its rate next allows a request.
+    pub listed_cold_until: Micros,
     pub cold_rate: f64,
     pub token_at: Micros,
-    pub out: u32,
-    /// Moving averages: time taken, and part of the outcomes that failed.
+    pub in_flight: u32,
+    /// Moving averages: latency in microseconds, and fraction of outcomes that failed.
     pub latency: f64,
-    pub bad: f64,
-    pub heard_at: Micros,
+    pub error_rate: f64,
+    pub updated_at: Micros,
 }
 
 impl Customer {
-    /// What waits for a fleet.
-    pub fn line(&mut self, fleet: usize) -> &mut VecDeque<u64> {
-        if !self.lines.iter().any(|l| l.fleet == fleet) {
-            self.lines.push(Line { fleet, ..Line::default() });
+    /// The queue for a fleet.
+    pub fn queue(&mut self, fleet: usize) -> &mut VecDeque<u64> {
+        if !self.queues.iter().any(|q| q.fleet == fleet) {
+            self.queues.push(Queue { fleet, ..Queue::default() });
         }
-        &mut self.lines.iter_mut().find(|l| l.fleet == fleet).expect("there now").waiting
+        &mut self.queues.iter_mut().find(|q| q.fleet == fleet).expect("there now").waiting
     }
 }
--- a/src/decide/target.rs
+++ b/src/decide/target.rs
@@ -1,110 +1,111 @@
-//! The target concurrency of one fleet: permits that grow slowly in use and are cut on overload (AIMD).
+//! Target concurrency of one fleet by AIMD: additive increase while in use, multiplicative cut on overload.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// AIMD: permits for each server of the fleet, over all gateways, at the start; what is gained a second and
-/// the least, as parts of what a server was seen to bear with ease; and the least target of a gateway.
-const START_PER_SERVER: f64 = 3.0;
-const GAIN: f64 = 0.05;
-const LEAST: f64 = 0.33;
-const LEAST_TARGET: f64 = 1.0;
-/// While the usual time is under this multiple of its least, the gain is so many times as large.
-const IDLE_UNDER: f64 = 1.15;
-const IDLE_GAIN: f64 = 5.0;
-/// AIMD: what a cut leaves of the target, and the part of the last second's outcomes that calls for one.
-const CUT_TO: f64 = 0.8;
-const BAD_MARK: f64 = 0.1;
-pub(super) const WINDOW: Micros = 1_000_000;
-/// So many outcomes are looked at though the last second had fewer: a tenth of five says nothing.
-const LEAST_SEEN: usize = 20;
-/// One server in so many may be at its worst without the fleet being blamed for it.
-const BLAME_SPARES: usize = 4;
-/// A request waits while this many usual deviations past the mean time of an answer are left to it.
-const WAIT_DEVIATIONS: f64 = 2.0;
-/// Weight of one outcome in a moving average; the fleet's own move four times as slowly.
-pub(super) const LEARN: f64 = 0.15;
+/// Permits per server, over all gateways, at the start; the gain per second and the minimum, as fractions of
+/// `known_good`; the least target of a gateway.
+const INITIAL_PERMITS: f64 = 3.0;
+const GAIN_PER_S: f64 = 0.05;
+const MIN_PERMITS: f64 = 0.33;
+const MIN_TARGET: f64 = 1.0;
+/// While the average latency is below this multiple of its minimum, the gain is `UNLOADED_GAIN` times larger.
+const UNLOADED_LATENCY: f64 = 1.15;
+const UNLOADED_GAIN: f64 = 5.0;
+/// The fraction of the target that a cut leaves, and the fraction of bad outcomes that triggers one.
+const DECREASE_TO: f64 = 0.8;
+const OVERLOAD_RATE: f64 = 0.1;
+pub(super) const WINDOW_US: Micros = 1_000_000;
+/// Outcomes kept even if older than the window: a tenth of five outcomes would be meaningless.
+const MIN_OUTCOMES: usize = 20;
+/// The worst one in this many servers is ignored when the fleet is checked for overload.
+const EXCUSED_SERVERS: usize = 4;
+/// A request may wait while it has left the average latency plus this many mean deviations.
+const LATENCY_DEVIATIONS: f64 = 2.0;
+/// Weight of one outcome in a server's moving averages (EWMA); the fleet's use a quarter of it.
+pub(super) const EWMA_WEIGHT: f64 = 0.15;
 
 #[derive(Default)]
-pub(super) struct Target {
-    /// Permits for each server, and what a server has been seen to bear with ease.
+pub(super) struct Aimd {
+    /// Permits per server, and the most of them with which latency has stayed near its minimum.
     pub permits: f64,
-    size: f64,
+    known_good: f64,
     grown_at: Micros,
     cut_at: Option<Micros>,
-    pub out: u32,
-    /// Outcomes of the last second, or the last few: when, which server, failed or not, reached or not.
+    pub in_flight: u32,
+    /// Outcomes of the window, or the last few: time, server, whether bad, whether it connected.
     recent: VecDeque<(Micros, u64, bool, bool)>,
-    /// The fleet's usual time to an answer.
-    pub mean: f64,
-    least_mean: f64,
+    /// Moving average of the fleet's latency, in microseconds.
+    pub latency: f64,
+    min_latency: f64,
     deviation: f64,
 }
 
-impl Target {
-    pub fn new(aim: f64) -> Target {
-        let (permits, mean) = (START_PER_SERVER, aim / 8.0);
-        Target { permits, size: permits, mean, least_mean: mean, deviation: mean / 2.0, ..Target::default() }
+impl Aimd {
+    pub fn new(aim: f64) -> Aimd {
+        let (permits, latency) = (INITIAL_PERMITS, aim / 8.0);
+        let (known_good, min_latency, deviation) = (permits, latency, latency / 2.0);
+        Aimd { permits, known_good, latency, min_latency, deviation, ..Aimd::default() }
     }
 
-    /// The target itself. It is held as permits for each server, so that it follows the size of a fleet that
-    /// shrinks, grows, or drops off the list and comes back; `strength` is that size, in warm servers.
-    pub fn at(&self, strength: f64, balancers: u32) -> f64 {
-        (self.permits * strength / balancers as f64).max(LEAST_TARGET)
+    /// This gateway's target. It is stored as permits per server, so it follows a fleet that shrinks, grows,
+    /// or leaves the list and comes back; `capacity` is the fleet's size in warm servers.
+    pub fn target(&self, capacity: f64, balancers: u32) -> f64 {
+        (self.permits * capacity / balancers as f64).max(MIN_TARGET)
     }
 
-    /// The time that an attempt needs to be answered in all likelihood.
-    pub fn needs(&self) -> Micros {
-        (self.mean + WAIT_DEVIATIONS * self.deviation) as Micros
+    /// The time within which an attempt is likely to be answered.
+    pub fn likely_latency(&self) -> Micros {
+        (self.latency + LATENCY_DEVIATIONS * self.deviation) as Micros
     }
 
-    pub fn grow(&mut self, now: Micros, strength: f64, balancers: u32) {
+    pub fn grow(&mut self, now: Micros, capacity: f64, balancers: u32) {
         let dt = (now - self.grown_at) as f64 / 1e6;
         self.grown_at = now;
-        self.least_mean = (self.least_mean * (1.0 + 0.01 * dt)).min(self.mean);
-        if self.out as f64 >= self.at(strength, balancers) / 2.0 {
-            // While answers take no longer than they ever did, the servers are larger than the target.
-            let idle = self.mean < self.least_mean * IDLE_UNDER;
-            self.permits += GAIN * self.size * dt * if idle { IDLE_GAIN } else { 1.0 };
-            if idle {
-                self.size = self.size.max(self.permits);
+        self.min_latency = (self.min_latency * (1.0 + 0.01 * dt)).min(self.latency);
+        if self.in_flight as f64 >= self.target(capacity, balancers) / 2.0 {
+            // While latency stays near its minimum, the servers can take more than the target.
+            let unloaded = self.latency < self.min_latency * UNLOADED_LATENCY;
+            self.permits += GAIN_PER_S * self.known_good * dt * if unloaded { UNLOADED_GAIN } else { 1.0 };
+            if unloaded {
+                self.known_good = self.known_good.max(self.permits);
             }
         }
     }
 
-    /// An answer took so long.
-    pub fn took(&mut self, taken: f64) {
-        self.deviation += ((taken - self.mean).abs() - self.deviation) * LEARN / 4.0;
-        self.mean += (taken - self.mean) * LEARN / 4.0;
+    /// Updates the fleet's average latency and mean deviation.
+    pub fn record_latency(&mut self, latency: f64) {
+        self.deviation += ((latency - self.latency).abs() - self.deviation) * EWMA_WEIGHT / 4.0;
+        self.latency += (latency - self.latency) * EWMA_WEIGHT / 4.0;
     }
 
-    /// An attempt has ended, in time or not; `aim` is the least time between two cuts.
-    pub fn ended(&mut self, now: Micros, aim: Micros, server: u64, outcome: Outcome, bad: bool) {
-        // These tell of their server, but requests at fault and broken connections not of the fleet's load.
+    /// Records an outcome, bad if failed or late, and cuts on overload, at most once per `aim`.
+    pub fn record_outcome(&mut self, now: Micros, aim: Micros, server: u64, outcome: Outcome, bad: bool) {
+        // Faulty requests and broken connections are no sign of load on the fleet.
         if !matches!(outcome, Outcome::Rejected | Outcome::Reset) {
             self.recent.push_back((now, server, bad, outcome != Outcome::ConnectFailed));
         }
-        while self.recent.len() > LEAST_SEEN && self.recent[0].0 + WINDOW < now {
+        while self.recent.len() > MIN_OUTCOMES && self.recent[0].0 + WINDOW_US < now {
             self.recent.pop_front();
         }
         if bad && self.cut_at.is_none_or(|at| now >= at + aim) && self.overloaded() {
-            self.permits = (self.permits * CUT_TO).max(LEAST * self.size);
+            self.permits = (self.permits * DECREASE_TO).max(MIN_PERMITS * self.known_good);
             self.cut_at = Some(now);
         }
     }
 
-    /// More than a tenth of the last second's outcomes were bad, the worst few servers left out, and those
-    /// that take no connection at all: a cut would not help those.
+    /// Whether more than `OVERLOAD_RATE` of the outcomes were bad, leaving out the worst servers, and those
+    /// that accept no connection at all, which a cut would not help.
     fn overloaded(&self) -> bool {
         let mut by_server: BTreeMap<u64, (u32, u32, bool)> = BTreeMap::new();
-        for (_, server, bad, reached) in &self.recent {
+        for (_, server, bad, connected) in &self.recent {
             let seen = by_server.entry(*server).or_default();
-            *seen = (seen.0 + u32::from(*bad), seen.1 + 1, seen.2 || *reached);
+            *seen = (seen.0 + u32::from(*bad), seen.1 + 1, seen.2 || *connected);
         }
-        let mut seen: Vec<_> = by_server.into_values().filter(|s| s.2).collect();
-        seen.sort_unstable_by(|a: &(u32, u32, bool), b| b.cmp(a));
-        let rest = &seen[seen.len() / BLAME_SPARES..];
+        let mut servers: Vec<_> = by_server.into_values().filter(|s| s.2).collect();
+        servers.sort_unstable_by(|a: &(u32, u32, bool), b| b.cmp(a));
+        let rest = &servers[servers.len() / EXCUSED_SERVERS..];
         let (bad, all) = rest.iter().fold((0, 0), |(bad, all), s| (bad + s.0, all + s.1));
-        bad > 1 && f64::from(bad) > BAD_MARK * f64::from(all)
+        bad > 1 && f64::from(bad) > OVERLOAD_RATE * f64::from(all)
     }
 }
