--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -23,21 +23,21 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        let known = (service as usize) < self.fleets.len() && class < self.set.classes.len();
-        if !known || n.plan >= self.set.plans.len() {
+        let known = (service as usize) < self.fleets.len() && class < self.config.classes.len();
+        if !known || n.plan >= self.config.plans.len() {
             return actions.push(Action::Refuse { id, retry_after_us: 0, over_quota: false });
         }
         let (spent, fleet) = (self.already_spent(&n), service as usize);
-        let (class_settings, plan) = (&self.set.classes[class], &self.set.plans[n.plan]);
+        let (class_settings, plan) = (&self.config.classes[class], &self.config.plans[n.plan]);
         self.fleets[fleet].aim = self.fleets[fleet].aim.max(class_settings.aim_us);
-        let margin = 2 * self.set.tick_us + class_settings.aim_us / 100;
+        let margin = 2 * self.config.tick_us + class_settings.aim_us / 100;
         let aim = class_settings.aim_us.saturating_sub(spent).min(n.left_us).saturating_sub(margin);
         let deadline = if class_settings.late_worth > 0.0 { n.left_us.saturating_sub(margin) } else { aim };
         let (best_by, deadline) = (self.now.saturating_add(aim), self.now.saturating_add(deadline));
         let units = if n.units.is_finite() { n.units.max(0.0) } else { 1.0 };
-        let spread = n.spread.clamp(1, self.set.balancers);
+        let spread = n.spread.clamp(1, self.config.balancers);
         let (rate, ceiling_tokens) = (plan.rate / spread as f64, self.initial_ceiling(plan, spread));
-        let tokens = if self.set.starts_empty { 1.0 + rate * self.age() } else { f64::INFINITY };
+        let tokens = if self.config.starts_empty { 1.0 + rate * self.age() } else { f64::INFINITY };
         self.evict_idle_customers();
         let c = self.customers.entry(key).or_insert_with(|| {
             self.eviction_queue.push_back(key);
@@ -55,7 +55,7 @@
         let mean = self.fleets[fleet].aimd.latency;
         let (f, soon) = (&self.fleets[fleet], self.now + mean as Micros / 2);
         // A late answer is worth little but costs nothing if room is booked, or none wait and half is free.
-        let idle = f.round_robin.is_empty() && 2.0 * f64::from(f.aimd.in_flight) < f.target(&self.set);
+        let idle = f.round_robin.is_empty() && 2.0 * f64::from(f.aimd.in_flight) < f.target(&self.config);
         let best_by = if best_by < soon && (idle || self.booking_has_room(&n)) { deadline } else { best_by };
         if best_by < soon {
             let retry_after_us = self.retry_after(mean);
@@ -76,7 +76,7 @@
     /// How long the client has already tried this request: first tries all have the same time left, retries
     /// less. That part of the aim is lost, and serving requests already late would prolong an overload.
     fn already_spent(&mut self, n: &NewRequest) -> Micros {
-        let deadline_us = self.set.classes[n.class].deadline_us;
+        let deadline_us = self.config.classes[n.class].deadline_us;
         let (usual, confidence) = &mut self.usual_time_left[n.class];
         let near = n.left_us.abs_diff(*usual) <= deadline_us / 100;
         if near {
@@ -87,7 +87,7 @@
                 *usual = n.left_us;
             }
         }
-        let is_retry = !near && if self.set.marks_retry { n.repeat } else { *confidence >= CONFIDENT };
+        let is_retry = !near && if self.config.marks_retry { n.repeat } else { *confidence >= CONFIDENT };
         if !is_retry || self.unserved == 0 {
             return 0; // only unserved requests are retried: an odd time left means nothing here
         }
@@ -100,13 +100,13 @@
     }
 
     pub(super) fn retry_after(&self, wait: f64) -> Micros {
-        let (min, max) = (self.set.tick_us, self.set.max_retry_after_us.max(self.set.tick_us));
-        if self.set.retry_after { (wait as Micros).clamp(min, max) } else { 0 }
+        let (min, max) = (self.config.tick_us, self.config.max_retry_after_us.max(self.config.tick_us));
+        if self.config.retry_after { (wait as Micros).clamp(min, max) } else { 0 }
     }
 
     /// Readings come with a delay, and none come for a customer that sends nothing.
     fn has_fresh_reading(&self, c: &Customer) -> bool {
-        let valid = READING_VALID_PERIODS * reading_gap(c.spread) * self.set.meter_us as f64;
+        let valid = READING_VALID_PERIODS * reading_gap(c.spread) * self.config.meter_us as f64;
         c.used_at.is_some_and(|at| (self.now - at) as f64 <= valid)
     }
 
@@ -114,7 +114,7 @@
     /// traffic that is uneven over the gateways. Only the even share without a fresh reading or under a
     /// ceiling. With many gateways each gets most of the quota if exceeding it loses nothing.
     fn quota_share(&self, c: &Customer) -> f64 {
-        let (spread, plan) = (c.spread as f64, &self.set.plans[c.plan]);
+        let (spread, plan) = (c.spread as f64, &self.config.plans[c.plan]);
         if plan.ceiling_rate > 0.0 {
             return 1.0 / spread;
         }
@@ -129,14 +129,14 @@
 
     /// This gateway's part of the burst: more than an even one, as gateways seldom all need it at once.
     fn local_burst(&self, c: &Customer) -> f64 {
-        let (share, burst) = (self.quota_share(c), self.set.plans[c.plan].burst);
-        let light = if self.in_light_use(c) { self.set.light_use_burst } else { 0.0 };
+        let (share, burst) = (self.quota_share(c), self.config.plans[c.plan].burst);
+        let light = if self.in_light_use(c) { self.config.light_use_burst } else { 0.0 };
         (burst * share.max((c.spread as f64).powf(-BURST_SPLIT_EXPONENT))).max(light)
     }
 
     /// Light use allows a larger burst: else many gateways would refuse what the quota has room for.
     fn in_light_use(&self, c: &Customer) -> bool {
-        self.has_fresh_reading(c) && c.used < self.set.light_use_below
+        self.has_fresh_reading(c) && c.used < self.config.light_use_below
     }
 
     /// Initial tokens of a ceiling: empty at the gateway's start, as it cannot know what it spent before.
@@ -146,7 +146,7 @@
 
     pub(super) fn refill(&mut self, key: u64) -> f64 {
         let Some(c) = self.customers.get(&key) else { return 0.0 };
-        let (share, plan, spread) = (self.quota_share(c), &self.set.plans[c.plan], c.spread as f64);
+        let (share, plan, spread) = (self.quota_share(c), &self.config.plans[c.plan], c.spread as f64);
         let dt = (self.now - c.refilled_at) as f64 / 1e6;
         let tokens = (c.tokens + plan.rate * share * dt).min(self.local_burst(c));
         let ceiling = (c.ceiling_tokens + plan.ceiling_rate / spread * dt).min(plan.ceiling_burst / spread);
@@ -161,7 +161,7 @@
             let Some(key) = self.eviction_queue.pop_front() else { return };
             let tokens = self.refill(key);
             let c = &self.customers[&key];
-            let plan = &self.set.plans[c.plan];
+            let plan = &self.config.plans[c.plan];
             let waiting = c.queues.iter().any(|q| q.scheduled || !q.waiting.is_empty());
             let idle = !waiting && c.in_flight == 0 && !self.has_fresh_reading(c);
             let ceiling_full = c.ceiling_tokens >= self.initial_ceiling(plan, c.spread) - 1e-9;
@@ -176,27 +176,27 @@
     /// Least time between sends where this gateway's part of `at_once` is under one, so that the limit holds
     /// over time. Beside a rate always, as the meter then reads the rate; else once it reads the limit full.
     pub(super) fn send_gap(&self, c: &Customer, fleet: usize) -> Micros {
-        let plan = &self.set.plans[c.plan];
+        let plan = &self.config.plans[c.plan];
         let gap = self.fleets[fleet].aimd.latency * c.spread as f64 / f64::from(plan.at_once.max(1));
         let late =
-            if c.used >= 1.0 { (gap * c.used * c.used).max(2.0 * self.set.meter_us as f64) } else { 0.0 };
+            if c.used >= 1.0 { (gap * c.used * c.used).max(2.0 * self.config.meter_us as f64) } else { 0.0 };
         (if plan.rate > 0.0 { gap } else { late }) as Micros
     }
 
     /// Whether the customer may have one more attempt in flight here: up to share x rate x aim + burst units
     /// (Little's law), or its part of `at_once`; one is always allowed, but see `send_gap`.
     pub(super) fn under_cap(&self, c: &Customer, r: &NewRequest) -> bool {
-        let (plan, share) = (&self.set.plans[c.plan], self.quota_share(c));
+        let (plan, share) = (&self.config.plans[c.plan], self.quota_share(c));
         if plan.at_once > 0 {
             // Whole parts that add up to the limit; a gateway whose part is 0 may send one now and then.
-            let index = (self.set.index + self.set.balancers - c.first_gateway % self.set.balancers)
-                % self.set.balancers;
+            let index = (self.config.index + self.config.balancers - c.first_gateway % self.config.balancers)
+                % self.config.balancers;
             let (index, part) = ((index % c.spread) as f64, plan.at_once as f64 * share);
             let min = if self.now < c.sent_at + self.send_gap(c, r.service as usize) { 0.0 } else { 1.0 };
             let whole = ((index + 1.0) * part).floor() - (index * part).floor();
             return (c.in_flight as f64) < whole.max(min);
         }
-        let aim = self.set.classes[r.class].aim_us as f64 / 1e6;
+        let aim = self.config.classes[r.class].aim_us as f64 / 1e6;
         let cap = plan.rate * share * aim + self.local_burst(c);
         c.in_flight == 0 || plan.rate == 0.0 || c.units_in_flight + r.units <= cap || self.booking_has_room(r)
     }
@@ -206,13 +206,14 @@
         self.refill(key);
         let valid = used >= 0.0 && used.is_finite();
         let Some(c) = self.customers.get_mut(&key).filter(|_| valid) else { return };
-        if self.set.light_use_below > 0.0 && c.used <= OVERUSE && used > OVERUSE {
+        if self.config.light_use_below > 0.0 && c.used <= OVERUSE && used > OVERUSE {
             c.tokens = c.tokens.min(0.0); // tokens saved under light use have been spent at other gateways
         }
         // A higher reading applies at once, a lower one over some periods: readings are late, and a sudden
         // flood would first spend the room granted for a quiet past.
-        let initial = if self.set.plans[c.plan].rate > 0.0 { 1.0 - 1.0 / reading_gap(c.spread) } else { 0.0 };
-        let blend_us = LOWER_READING_PERIODS * reading_gap(c.spread) * self.set.meter_us.max(1) as f64;
+        let initial =
+            if self.config.plans[c.plan].rate > 0.0 { 1.0 - 1.0 / reading_gap(c.spread) } else { 0.0 };
+        let blend_us = LOWER_READING_PERIODS * reading_gap(c.spread) * self.config.meter_us.max(1) as f64;
         let weight = c.used_at.map_or(initial, |at| ((self.now - at) as f64 / blend_us).min(1.0));
         c.used += (used - c.used) * if used > c.used { 1.0 } else { weight };
         c.used_at = Some(self.now);
--- a/src/decide/booked.rs
+++ b/src/decide/booked.rs
@@ -22,9 +22,9 @@
     pub(super) fn room(&mut self, n: usize) -> f64 {
         let fleet = &self.fleets[n];
         if fleet.holds.is_empty() {
-            return fleet.target(&self.set);
+            return fleet.target(&self.config);
         }
-        let (room, limits) = (fleet.room(&self.set), fleet.limits(&self.set));
+        let (room, limits) = (fleet.room(&self.config), fleet.limits(&self.config));
         let in_flight = |booking| fleet.booked_in_flight.get(&booking).copied().unwrap_or(0);
         let (mut reserved, mut used) = (0, 0);
         let mut open = Vec::new();
@@ -66,7 +66,7 @@
     pub(super) fn booking_has_room(&self, r: &NewRequest) -> bool {
         let fleet = &self.fleets[r.service as usize];
         let in_flight = fleet.booked_in_flight.get(&r.booking).copied().unwrap_or(0);
-        let mut limits = fleet.holds.iter().zip(fleet.limits(&self.set));
+        let mut limits = fleet.holds.iter().zip(fleet.limits(&self.config));
         limits.any(|(h, limit)| h.booking == r.booking && in_flight < limit)
     }
 }
@@ -74,21 +74,21 @@
 impl Fleet {
     /// The target plus what bookings move to this gateway, or less what they move away: gateways that receive
     /// a booking's requests get more, the total over all gateways is unchanged. Others keep their minimum.
-    fn room(&self, set: &Settings) -> f64 {
-        let target = self.target(set);
+    fn room(&self, config: &Settings) -> f64 {
+        let target = self.target(config);
         let moved: f64 = self.holds.iter().map(|h| h.moved).sum();
         (target + moved).max(target.min((UNBOOKED_SHARE * target).max(UNBOOKED_MIN)))
     }
 
     /// The room as a multiple of the target.
-    pub fn room_factor(&self, set: &Settings) -> f64 {
-        if self.holds.is_empty() { 1.0 } else { self.room(set) / self.target(set) }
+    pub fn room_factor(&self, config: &Settings) -> f64 {
+        if self.holds.is_empty() { 1.0 } else { self.room(config) / self.target(config) }
     }
 
     /// How many requests of each hold have priority: its full count, or all holds scaled down alike if the
     /// room does not suffice.
-    fn limits(&self, set: &Settings) -> Vec<u32> {
-        let free = self.room(set);
+    fn limits(&self, config: &Settings) -> Vec<u32> {
+        let free = self.room(config);
         let all: u32 = self.holds.iter().map(|h| h.priority).sum();
         let scale = if f64::from(all) > free { free / f64::from(all) } else { 1.0 };
         self.holds.iter().map(|h| (f64::from(h.priority) * scale) as u32).collect()
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -13,7 +13,7 @@
 const SUBSET_PER_SEND: f64 = 0.3;
 const SUBSET_MIN: usize = 5;
 const SLOW_FACTOR: f64 = 4.0;
-/// Most attempts in flight to one server, as a multiple of its share of the target.
+/// Most attempts in flight to a server, in shares of the target: one that turned slow must not fill up.
 const MAX_LOAD_FACTOR: f64 = 2.0;
 /// Most by which the chance of a cold server is scaled up while many are cold.
 const MAX_COLD_BOOST: f64 = 1.5;
@@ -48,17 +48,16 @@
     /// server is drawn as often as any other but accepts only its ramp's fraction of draws, so all gateways
     /// together send it that fraction of a full load, however few requests each of them has.
     pub(super) fn pick_server(&mut self, id: u64) -> Option<u64> {
-        let Decider { fleets, servers, requests, rng, set, now, .. } = self;
-        let (set, now, r) = (&*set, *now, requests.get_mut(&id).expect("waits"));
+        let Decider { fleets, servers, requests, rng, config, now, .. } = self;
+        let (config, now, r) = (&*config, *now, requests.get_mut(&id).expect("waits"));
         let (draws, draws_before) = (r.attempts.len() + 1, r.draws);
         r.draws = draws;
         let (r, fleet) = (&*r, &mut fleets[r.fleet()]);
-        let (effect, usual) = (set.classes[r.params.class].effect, fleet.aimd.latency);
-        // A server that turned slow must not fill up with our requests.
-        let even_share = fleet.aimd.permits / set.balancers as f64 * fleet.room_factor(set);
+        let (effect, usual) = (config.classes[r.params.class].effect, fleet.aimd.latency);
+        let even_share = fleet.aimd.permits / config.balancers as f64 * fleet.room_factor(config);
         let usable = |s: &Server| {
             let room = (s.in_flight as f64) < (MAX_LOAD_FACTOR * even_share * s.share).max(1.0);
-            room && (now >= s.token_at || !s.rate_limited(now, set)) && r.allows(s, effect, now)
+            room && (now >= s.token_at || !s.rate_limited(now, config)) && r.allows(s, effect, now)
         };
         let cost = |s: &Server| {
             let served = 1.0 - s.decayed(now, s.error_rate, 0.0).min(0.9);
@@ -71,7 +70,7 @@
             let up = &mut tier.up;
             let drawn = rng.usize(0..many.max(1));
             let ramp =
-                up.get(drawn).map(|k| &servers[k]).filter(|s| usable(s)).and_then(|s| s.ramp(now, set));
+                up.get(drawn).map(|k| &servers[k]).filter(|s| usable(s)).and_then(|s| s.ramp(now, config));
             let boost = (many as f64 / tier.warm).min(MAX_COLD_BOOST);
             if draws_before < draws && ramp.is_some_and(|ramp| rng.f64() < ramp * boost) {
                 return Some(up[drawn]);
@@ -80,7 +79,7 @@
             for n in 0..many {
                 up.swap(n, rng.usize(n..if n < subset { subset } else { many }));
                 let s = &servers[&up[n]];
-                if s.ramp(now, set).is_some() || !usable(s) {
+                if s.ramp(now, config).is_some() || !usable(s) {
                     continue;
                 }
                 let next = (cost(s) * if tried(up[n]) { f64::MAX.sqrt() } else { 1.0 }, up[n]);
@@ -127,7 +126,7 @@
             * if outcome == Outcome::ConnectFailed { UNHEALTHY } else { EWMA_WEIGHT };
         s.updated_at = self.now;
         // A single fleet uses the aims of all classes; one of several only those of the requests it gets.
-        let aim = self.set.classes.iter().map(|c| c.aim_us).max().unwrap_or(0);
+        let aim = self.config.classes.iter().map(|c| c.aim_us).max().unwrap_or(0);
         let aim = if several { fleet.aim } else { aim };
         aimd.record_outcome(self.now, aim, server, outcome, failed || late);
         let tier = fleet.tier(s.distance);
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 
 impl Fleet {
-    pub fn new(set: &Settings) -> Fleet {
-        let aim = set.classes.iter().map(|c| c.aim_us).min().unwrap_or(1) as f64;
+    pub fn new(config: &Settings) -> Fleet {
+        let aim = config.classes.iter().map(|c| c.aim_us).min().unwrap_or(1) as f64;
         let (tiers, aimd) = (vec![Tier::default()], Aimd::new(aim));
-        let retry_tokens = set.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)[1];
+        let retry_tokens = config.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)[1];
         Fleet { tiers, aimd, retry_tokens, ..Fleet::default() }
     }
 
-    pub fn target(&self, set: &Settings) -> f64 {
-        self.aimd.target(self.capacity, set.balancers)
+    pub fn target(&self, config: &Settings) -> f64 {
+        self.aimd.target(self.capacity, config.balancers)
     }
 
     pub fn tier(&mut self, distance: u32) -> &mut Tier {
@@ -26,21 +26,21 @@
     }
 
     /// Recomputes the fleet's capacity, in warm servers.
-    fn update_capacity(&mut self, now: Micros, set: &Settings, servers: &BTreeMap<u64, Server>) {
-        let each = self.aimd.latency / 1e6 * set.balancers as f64 / self.aimd.permits;
+    fn update_capacity(&mut self, now: Micros, config: &Settings, servers: &BTreeMap<u64, Server>) {
+        let each = self.aimd.latency / 1e6 * config.balancers as f64 / self.aimd.permits;
         self.capacity = 0.0;
         for t in &mut self.tiers {
-            t.warm = t.up.iter().map(|k| servers[k].ramp(now, set).unwrap_or(1.0)).sum();
-            self.capacity += t.up.iter().map(|k| servers[k].capacity(now, set, each)).sum::<f64>();
+            t.warm = t.up.iter().map(|k| servers[k].ramp(now, config).unwrap_or(1.0)).sum();
+            self.capacity += t.up.iter().map(|k| servers[k].capacity(now, config, each)).sum::<f64>();
         }
         self.capacity_at = now;
     }
 
-    pub fn update(&mut self, now: Micros, set: &Settings, servers: &BTreeMap<u64, Server>) {
+    pub fn update(&mut self, now: Micros, config: &Settings, servers: &BTreeMap<u64, Server>) {
         if now >= self.capacity_at + WINDOW_US / 4 {
-            self.update_capacity(now, set, servers);
+            self.update_capacity(now, config, servers);
         }
-        self.aimd.grow(now, self.capacity, set.balancers);
+        self.aimd.grow(now, self.capacity, config.balancers);
     }
 }
 
@@ -49,7 +49,7 @@
         if kind == ListKind::Failed {
             // Exponential backoff with jitter, well within the time after which a gateway counts as informed.
             self.subscribe_failures = (self.subscribe_failures + 1).min(3);
-            let wait = (self.set.ask_within_us / 16).clamp(1, 60_000_000) << self.subscribe_failures;
+            let wait = (self.config.ask_within_us / 16).clamp(1, 60_000_000) << self.subscribe_failures;
             self.tasks.insert((self.now + wait + self.rng.u64(0..=wait / 4), Task::Subscribe));
             return;
         }
@@ -65,11 +65,11 @@
                 let (in_flight, latency) = (s.in_flight, self.fleets[fleet].aimd.latency);
                 *s = Server { in_flight, latency, fleet, ..Server::default() };
             }
-            let was_rate_limited = s.rate_limited(self.now, &self.set);
+            let was_rate_limited = s.rate_limited(self.now, &self.config);
             (s.zone, s.cell, s.up, s.up_since) = (e.zone, e.cell, e.state == State::Up, e.up_since_us);
             s.share = if e.share.is_finite() { e.share.max(0.0) } else { 1.0 };
             (s.distance, s.cold_rate, s.listed_cold_until) = (e.distance, e.cold_rate, e.cold_until_us);
-            if s.rate_limited(self.now, &self.set) && !was_rate_limited {
+            if s.rate_limited(self.now, &self.config) && !was_rate_limited {
                 // All gateways learn of it at the same time: spreads their first requests to it.
                 s.token_at = self.now + self.rng.u64(0..=s.token_interval());
             }
@@ -87,6 +87,6 @@
                 up.insert(self.rng.usize(0..=up.len()), *k); // each position is equally likely
             }
         }
-        self.fleets.iter_mut().for_each(|f| f.update_capacity(self.now, &self.set, &self.servers));
+        self.fleets.iter_mut().for_each(|f| f.update_capacity(self.now, &self.config, &self.servers));
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -19,21 +19,21 @@
 
 impl Decider {
     /// Applies new settings while requests are open. Classes, plans and services keep their numbers.
-    pub fn reconfigure(&mut self, set: Settings) -> Result<(), SettingsError> {
-        set.check()?;
-        if set.classes.len() < self.set.classes.len() || set.plans.len() < self.set.plans.len() {
+    pub fn reconfigure(&mut self, config: Settings) -> Result<(), SettingsError> {
+        config.check()?;
+        if config.classes.len() < self.config.classes.len() || config.plans.len() < self.config.plans.len() {
             return Err(SettingsError("classes and plans may be appended or changed, not taken away"));
         }
         // Credits the tokens accrued so far at the old rates.
         let keys: Vec<u64> = self.customers.keys().copied().collect();
         keys.into_iter().for_each(|key| _ = self.refill(key));
-        for c in self.customers.values_mut().filter(|c| self.set.plans[c.plan].rate == 0.0) {
+        for c in self.customers.values_mut().filter(|c| self.config.plans[c.plan].rate == 0.0) {
             c.tokens = f64::INFINITY; // use from before there was a quota does not count against it
         }
-        self.usual_time_left.resize(set.classes.len(), (0, 0));
-        let fleets = self.fleets.len().max(set.services.max(1) as usize);
-        self.fleets.resize_with(fleets, || Fleet::new(&set));
-        self.set = set;
+        self.usual_time_left.resize(config.classes.len(), (0, 0));
+        let fleets = self.fleets.len().max(config.services.max(1) as usize);
+        self.fleets.resize_with(fleets, || Fleet::new(&config));
+        self.config = config;
         Ok(())
     }
 
@@ -42,9 +42,9 @@
         self.now = self.now.max(now);
         if self.started.is_none() {
             self.started = Some(now);
-            self.tasks.extend(self.set.ask_for_list.then_some((now, Task::Subscribe)));
+            self.tasks.extend(self.config.ask_for_list.then_some((now, Task::Subscribe)));
         }
-        self.fleets.iter_mut().for_each(|f| f.update(self.now, &self.set, &self.servers));
+        self.fleets.iter_mut().for_each(|f| f.update(self.now, &self.config, &self.servers));
         match event {
             Event::List { kind, entries } => self.update_servers(kind, &entries),
             Event::Request(r) => self.admit(r, actions),
@@ -108,7 +108,7 @@
 
     /// This gateway's target concurrency, summed over all fleets.
     pub fn target(&self) -> f64 {
-        self.fleets.iter().map(|f| f.target(&self.set)).sum()
+        self.fleets.iter().map(|f| f.target(&self.config)).sum()
     }
 
     /// Adds a customer with queued requests to the round robin of one fleet, or of all fleets it waits for.
@@ -144,7 +144,7 @@
                 }
                 continue; // scheduled again when one of its attempts ends
             }
-            let plan = &self.set.plans[c.plan];
+            let plan = &self.config.plans[c.plan];
             let missing = if r.attempts.is_empty() { r.params.units - c.ceiling_tokens } else { 0.0 };
             if plan.ceiling_rate > 0.0 && missing > 0.0 {
                 let wait = missing * c.spread as f64 / plan.ceiling_rate * 1e6;
@@ -153,7 +153,7 @@
             }
             let Some(server) = self.pick_server(id) else {
                 // No server is eligible now: it waits without blocking other customers.
-                let wait = (self.fleets[n].aimd.latency as Micros / 8).max(self.set.tick_us).max(1);
+                let wait = (self.fleets[n].aimd.latency as Micros / 8).max(self.config.tick_us).max(1);
                 self.tasks.insert((self.now + wait, Task::Resume(key, n)));
                 continue;
             };
--- a/src/decide/records.rs
+++ b/src/decide/records.rs
@@ -16,7 +16,7 @@
 
 /// Admission control and load balancing of one gateway.
 pub struct Decider {
-    pub(super) set: Settings,
+    pub(super) config: Settings,
     pub(super) rng: fastrand::Rng,
     pub(super) now: Micros,
     pub(super) started: Option<Micros>,
@@ -42,9 +42,9 @@
         (self.now - self.started.unwrap_or(self.now)) as f64 / 1e6
     }
 
-    pub fn new(set: Settings, seed: u64) -> Result<Decider, SettingsError> {
+    pub fn new(config: Settings, seed: u64) -> Result<Decider, SettingsError> {
         let mut new = Decider {
-            set: Settings::default(),
+            config: Settings::default(),
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
             started: None,
@@ -59,7 +59,7 @@
             unserved: 0,
             usual_time_left: Vec::new(),
         };
-        new.reconfigure(set)?;
+        new.reconfigure(config)?;
         Ok(new)
     }
 }
--- a/src/decide/target.rs
+++ b/src/decide/target.rs
@@ -73,7 +73,6 @@
         }
     }
 
-    /// Updates the fleet's average latency and mean deviation.
     pub fn record_latency(&mut self, latency: f64) {
         self.deviation += ((latency - self.latency).abs() - self.deviation) * EWMA_WEIGHT / 4.0;
         self.latency += (latency - self.latency) * EWMA_WEIGHT / 4.0;
--- a/src/decide/tries.rs
+++ b/src/decide/tries.rs
@@ -41,10 +41,10 @@
         let tier = fleet.tier(s.distance);
         (tier.sent, tier.sent_at) = (tier.recent_sends(self.now) + 1.0, self.now);
         if r.attempts.is_empty() {
-            if self.set.plans[c.plan].ceiling_rate > 0.0 {
+            if self.config.plans[c.plan].ceiling_rate > 0.0 {
                 c.ceiling_tokens -= r.params.units;
             }
-            let [ratio, max_saved, _] = self.set.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET);
+            let [ratio, max_saved, _] = self.config.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET);
             fleet.retry_tokens = (fleet.retry_tokens + ratio).min(max_saved);
         }
         r.queued = false;
@@ -76,8 +76,8 @@
             self.record_reading(key, used);
         }
         let c = self.customers.get_mut(&key).expect("just seen");
-        if let Some(units_used) = n.final_units.filter(|f| self.set.trued_up && f.is_finite() && *f > 0.0) {
-            c.tokens -= units_used - units;
+        if let Some(exact) = n.final_units.filter(|f| self.config.trued_up && f.is_finite() && *f > 0.0) {
+            c.tokens -= exact - units;
         }
         self.schedule_customer(key, None, false);
         let r = &self.requests[&n.id];
@@ -90,12 +90,12 @@
 
     /// After a failure: retries if in time, allowed and in the budget; free after a failed connection.
     fn retry(&mut self, id: u64, last: Outcome, actions: &mut Vec<Action>) {
-        let reset = self.set.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)[2];
+        let reset = self.config.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)[2];
         let cost = if last == Outcome::Reset { reset } else { f64::from(last != Outcome::ConnectFailed) };
         let r = self.requests.get_mut(&id).expect("just seen");
         let (n, fleet) = (r.fleet(), &mut self.fleets[r.fleet()]);
-        let limit = if r.params.max_attempts > 0 { r.params.max_attempts } else { self.set.attempts_cap };
-        let once = self.set.classes[r.params.class].effect == Effect::Once;
+        let limit = if r.params.max_attempts > 0 { r.params.max_attempts } else { self.config.attempts_cap };
+        let once = self.config.classes[r.params.class].effect == Effect::Once;
         let allowed = !(once && r.attempts.iter().any(|a| a.may_have_run));
         let next_by = self.now + fleet.aimd.latency as Micros;
         if !allowed || next_by > r.best_by || r.attempts.len() as u32 >= limit || fleet.retry_tokens < cost {
@@ -119,12 +119,12 @@
     pub(super) fn give_up(&mut self, id: u64, actions: &mut Vec<Action>) {
         let r = &self.requests[&id];
         let (over_quota, ran) = (false, r.attempts.iter().any(|a| a.in_flight || a.may_have_run));
-        let safe = match self.set.classes[r.params.class].effect {
+        let safe = match self.config.classes[r.params.class].effect {
             Effect::Repeatable | Effect::ByKey { group: Group::All, .. } => true,
             _ => !ran,
         };
         let fleet = &self.fleets[r.fleet()];
-        let backlog = fleet.round_robin.len() as f64 / fleet.target(&self.set);
+        let backlog = fleet.round_robin.len() as f64 / fleet.target(&self.config);
         let retry_after_us = self.retry_after(fleet.aimd.latency * (1.0 + backlog));
         let answer =
             if safe { Action::Refuse { id, retry_after_us, over_quota } } else { Action::Fail { id } };
@@ -138,7 +138,7 @@
             (r.done, r.queued) = (true, false);
             actions.extend(answer);
             // Cancels attempts in flight; so near the time-out that would only hide the time-out.
-            let cancel = self.set.may_cancel && self.now + self.set.tick_us < r.deadline;
+            let cancel = self.config.may_cancel && self.now + self.config.tick_us < r.deadline;
             for n in (0..r.attempts.len() as u32).filter(|n| cancel && r.attempts[*n as usize].in_flight) {
                 actions.push(Action::Cancel { id, attempt: n });
             }
