--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! curlewfront: a front door that meters many customers' use of one shared service.
+//! curlewfront: a load balancer that meters many customers' use of one shared service.
 //!
-//! The decisions stand in `decide`, their types in `interface`; both do no I/O.
+//! `decide` is the decision module, `interface` has its types; neither does I/O.
 
 mod decide;
 mod interface;
@@ -8,14 +8,14 @@
 pub use decide::Decider;
 pub use interface::*;
 
-/// What is remembered, for those who watch a gateway's memory.
+/// Sizes of the gateway's tables, to observe its memory use.
 impl Decider {
-    /// How many customers are remembered.
+    /// Number of customers with state.
     pub fn customers_known(&self) -> usize {
         self.customers.len()
     }
 
-    /// How many requests are open here, or still have an attempt out.
+    /// Number of requests that are open or have an attempt in flight.
     pub fn requests_known(&self) -> usize {
         self.requests.len()
     }
