--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under scripted events, with what every test needs to say only once.
+//! A gateway driven by scripted events, and helpers shared by the tests.
 #![allow(dead_code)]
 
 use curlewfront::*;
@@ -39,8 +39,8 @@
     }
 }
 
-/// A plan that never refuses.
-pub fn free() -> Plan {
+/// A plan without quotas.
+pub fn no_quota() -> Plan {
     Plan::default()
 }
 
@@ -56,7 +56,7 @@
     NewRequest { id, customer: 7, left_us: 3 * SEC, spread: 2, ..NewRequest::default() }
 }
 
-pub fn answer(id: u64, attempt: u32, server: u64, outcome: Outcome) -> AttemptEnd {
+pub fn attempt_end(id: u64, attempt: u32, server: u64, outcome: Outcome) -> AttemptEnd {
     AttemptEnd {
         id,
         attempt,
@@ -72,7 +72,7 @@
 pub struct Gateway {
     pub decider: Decider,
     pub now: Micros,
-    /// All that was ever done, with its time.
+    /// All actions so far, with their times.
     pub log: Vec<(Micros, Action)>,
 }
 
@@ -81,60 +81,61 @@
         Gateway::seeded(set, 42)
     }
 
-    /// One of many, each with a chance of its own.
+    /// A gateway with its own random seed, for tests of many gateways.
     pub fn seeded(set: Settings, seed: u64) -> Gateway {
         Gateway { decider: Decider::new(set, seed).expect("good settings"), now: T0, log: Vec::new() }
     }
 
-    /// A gateway with so many warm servers, numbered from 1.
+    /// A gateway with `servers` warm servers, numbered from 1.
     pub fn with_servers(set: Settings, servers: u64) -> Gateway {
         let mut g = Gateway::new(set);
         g.list(ListKind::Saved, &(1..=servers).map(up).collect::<Vec<_>>());
         g
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut acts = Vec::new();
-        self.decider.handle(self.now, event, &mut acts);
-        self.log.extend(acts.iter().cloned().map(|a| (self.now, a)));
-        acts
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.decider.handle(self.now, event, &mut actions);
+        self.log.extend(actions.iter().cloned().map(|a| (self.now, a)));
+        actions
     }
 
     pub fn list(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<Action> {
-        self.tell(Event::List { kind, entries: entries.to_vec() })
+        self.handle(Event::List { kind, entries: entries.to_vec() })
     }
 
-    pub fn ask(&mut self, r: NewRequest) -> Vec<Action> {
-        self.tell(Event::Request(r))
+    pub fn submit(&mut self, r: NewRequest) -> Vec<Action> {
+        self.handle(Event::Request(r))
     }
 
-    pub fn back(&mut self, r: AttemptEnd) -> Vec<Action> {
-        self.tell(Event::AttemptEnded(r))
+    pub fn end_attempt(&mut self, r: AttemptEnd) -> Vec<Action> {
+        self.handle(Event::AttemptEnded(r))
     }
 
-    /// Lets time pass, waking the gateway each millisecond as its timers would.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    /// Advances the clock by `time`, with a timer event each millisecond.
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         while self.now < until {
             self.now = (self.now + MS).min(until);
-            acts.extend(self.tell(Event::Timer { token: 0 }));
+            actions.extend(self.handle(Event::Timer { token: 0 }));
         }
-        acts
+        actions
     }
 }
 
-/// The servers that were sent something.
-pub fn sent(acts: &[Action]) -> Vec<u64> {
-    acts.iter()
+/// The servers to which attempts were sent.
+pub fn sent(actions: &[Action]) -> Vec<u64> {
+    actions
+        .iter()
         .filter_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
         .collect()
 }
 
-pub fn refused(acts: &[Action]) -> usize {
-    acts.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+pub fn refused(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
 }
 
-pub fn failed(acts: &[Action]) -> usize {
-    acts.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
+pub fn failed(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,11 +1,12 @@
-//! The list of tests that may fail: what passes over them must hold them to being known, failing and described.
+//! The list of known test failures: `scripts/known-red` skips them, and must check that each exists, still fails and is
+//! described in full.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Tests in the stand-in's workspace: (name, fails).
+/// Tests that the fake test runner knows: (name, fails).
 const TESTS: [(&str, bool); 8] = [
     ("slow::stops", true),
     ("holds", false),
@@ -22,7 +23,7 @@
 }
 
 impl Case {
-    /// A list, and a stand-in for the runner that knows `TESTS`.
+    /// Writes a list and a fake test runner that knows `TESTS`.
     fn new(name: &str, list: &str) -> Case {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{name}"));
         fs::create_dir_all(&folder).unwrap();
@@ -43,14 +44,17 @@
         Case { folder }
     }
 
-    /// Whether it passed, and all it said.
-    fn run(&self, verb: &str) -> (bool, String) {
+    /// Runs the script; returns whether it passed, and its output.
+    fn run(&self, subcommand: &str) -> (bool, String) {
         let script = concat!(env!("CARGO_MANIFEST_DIR"), "/scripts/known-red");
         let mut command = Command::new(script);
-        command.arg(verb).arg(self.folder.join("list")).env("KNOWN_RED_CARGO", self.folder.join("runner"));
-        let out = command.output().unwrap();
-        let said = [out.stdout, out.stderr].concat();
-        (out.status.success(), String::from_utf8(said).unwrap())
+        command
+            .arg(subcommand)
+            .arg(self.folder.join("list"))
+            .env("KNOWN_RED_CARGO", self.folder.join("runner"));
+        let result = command.output().unwrap();
+        let output = [result.stdout, result.stderr].concat();
+        (result.status.success(), String::from_utf8(output).unwrap())
     }
 }
 
@@ -73,13 +77,13 @@
 
 #[test]
 fn a_listed_test_that_passes_or_is_unknown_fails_the_check() {
-    let (passed, said) = Case::new("passes", "holds | cargo test | none | 7\n").run("verify");
-    assert!(!passed && said.contains("holds passes"), "{said}");
-    let (passed, said) = Case::new("unknown", "stops | cargo test | none | 7\n").run("verify");
-    assert!(!passed && said.contains("0 tests"), "{said}");
+    let (passed, output) = Case::new("passes", "holds | cargo test | none | 7\n").run("verify");
+    assert!(!passed && output.contains("holds passes"), "{output}");
+    let (passed, output) = Case::new("unknown", "stops | cargo test | none | 7\n").run("verify");
+    assert!(!passed && output.contains("0 tests"), "{output}");
 }
 
-// Guards against a list without a cap that hides one of many: each of them is passed over, printed and held to fail.
+// Guards against a check that drops entries of a long list: each must be skipped, printed and checked to fail.
 #[test]
 fn every_test_of_a_long_list_is_passed_over_and_held_to_fail() {
     let line = |name: &str| format!("{name} | cargo test | none | 7\n");
@@ -89,9 +93,9 @@
     assert_eq!(case.run("skip"), (true, format!("--exact\n{skipped}")));
     let printed: String = failing.map(|name| format!("known red: {}", line(name))).concat();
     assert_eq!(case.run("verify"), (true, printed));
-    let (passed, said) =
+    let (passed, output) =
         Case::new("long-passes", &(failing.map(line).concat() + &line("holds"))).run("verify");
-    assert!(!passed && said.contains("holds passes"), "{said}");
+    assert!(!passed && output.contains("holds passes"), "{output}");
 }
 
 #[test]
@@ -113,9 +117,9 @@
     }
 }
 
-// Guards against a test that is listed under a name which two tests have: only one of them need fail.
+// Guards against an entry whose name two tests have: one of them could pass unnoticed.
 #[test]
 fn a_name_of_two_tests_is_refused() {
-    let (passed, said) = Case::new("twice", "twice::told | cargo test | none | 7\n").run("verify");
-    assert!(!passed && said.contains("2 tests"), "{said}");
+    let (passed, output) = Case::new("twice", "twice::told | cargo test | none | 7\n").run("verify");
+    assert!(!passed && output.contains("2 tests"), "{output}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The five rules, under any legal settings.
+//! The rules that hold under any valid settings: one answer in time, no forbidden repeats, no attempts to servers that
+//! drain, slow start, and no harm from unexpected events.
 
 mod common;
 use common::*;
@@ -6,7 +7,7 @@
 use std::collections::HashMap;
 
 fn gateway(effect: Effect) -> Gateway {
-    let mut set = settings(free());
+    let mut set = settings(no_quota());
     set.classes = vec![class(effect)];
     let mut g = Gateway::new(set);
     let entry = |server| Entry { zone: (server % 2) as u32, cell: (server % 4) as u32, ..up(server) };
@@ -17,44 +18,44 @@
 #[test]
 fn every_request_is_answered_before_its_time_is_up() {
     for left_us in [0, 20 * MS, 300 * MS, 3 * SEC] {
-        let mut g = Gateway::with_servers(settings(free()), 2);
-        let mut acts = g.ask(NewRequest { left_us, ..request(1) });
-        acts.extend(g.pass(left_us.max(20 * MS)));
-        assert_eq!(refused(&acts) + failed(&acts), 1, "with {left_us} left");
+        let mut g = Gateway::with_servers(settings(no_quota()), 2);
+        let mut actions = g.submit(NewRequest { left_us, ..request(1) });
+        actions.extend(g.advance(left_us.max(20 * MS)));
+        assert_eq!(refused(&actions) + failed(&actions), 1, "with {left_us} left");
     }
 }
 
 #[test]
 fn no_server_at_all_means_waiting_and_then_a_refusal() {
-    let mut g = Gateway::with_servers(settings(free()), 0);
-    let mut acts = g.ask(request(1));
-    assert!(refused(&acts) == 0);
-    acts.extend(g.pass(SEC));
-    assert_eq!((sent(&acts).len(), refused(&acts)), (0, 1));
-    // One that comes up in time gets what waits.
-    g.ask(request(2));
+    let mut g = Gateway::with_servers(settings(no_quota()), 0);
+    let mut actions = g.submit(request(1));
+    assert!(refused(&actions) == 0);
+    actions.extend(g.advance(SEC));
+    assert_eq!((sent(&actions).len(), refused(&actions)), (0, 1));
+    // A server that comes up in time gets the waiting request.
+    g.submit(request(2));
     g.list(ListKind::Full, &[up(1)]);
-    assert_eq!(sent(&g.pass(100 * MS)), [1]);
+    assert_eq!(sent(&g.advance(100 * MS)), [1]);
 }
 
 #[test]
 fn a_request_that_may_have_run_once_is_neither_sent_again_nor_refused() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset] {
         let mut g = gateway(Effect::Once);
-        let server = sent(&g.ask(request(1)))[0];
-        assert_eq!(sent(&g.pass(700 * MS)).len(), 0, "no second copy");
-        let acts = g.back(answer(1, 0, server, outcome));
-        assert_eq!((sent(&acts).len(), refused(&acts), failed(&acts)), (0, 0, 1), "{outcome:?}");
+        let server = sent(&g.submit(request(1)))[0];
+        assert_eq!(sent(&g.advance(700 * MS)).len(), 0, "no second copy");
+        let actions = g.end_attempt(attempt_end(1, 0, server, outcome));
+        assert_eq!((sent(&actions).len(), refused(&actions), failed(&actions)), (0, 0, 1), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_request_that_never_ran_is_sent_again_even_where_once_is_all() {
+fn a_request_that_never_ran_is_sent_again_even_if_it_must_not_run_twice() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
         let mut g = gateway(Effect::Once);
-        let server = sent(&g.ask(request(1)))[0];
-        let acts = g.back(answer(1, 0, server, outcome));
-        assert_eq!(sent(&acts).len(), 1, "{outcome:?}");
+        let server = sent(&g.submit(request(1)))[0];
+        let actions = g.end_attempt(attempt_end(1, 0, server, outcome));
+        assert_eq!(sent(&actions).len(), 1, "{outcome:?}");
     }
 }
 
@@ -63,46 +64,46 @@
     for group in [Group::Zone, Group::Cell] {
         for first in 0..20 {
             let mut g = gateway(Effect::ByKey { group, window_us: 200 * MS });
-            let server = sent(&g.ask(request(first)))[0];
-            let again = sent(&g.back(answer(first, 0, server, Outcome::Error)));
+            let server = sent(&g.submit(request(first)))[0];
+            let again = sent(&g.end_attempt(attempt_end(first, 0, server, Outcome::Error)));
             let same = if group == Group::Zone { 2 } else { 4 };
             assert!(again.iter().all(|s| s % same == server % same), "{group:?}: {server} then {again:?}");
             assert_eq!(again.len(), 1);
-            // Past the window it may not be sent, and as it may have run it may not be refused.
+            // After the window it may not be sent again, and as it may have run it may not be refused.
             g.now += 250 * MS;
-            let acts = g.back(answer(first, 1, again[0], Outcome::Error));
-            let later = g.pass(SEC);
-            assert_eq!(sent(&acts).len() + sent(&later).len(), 0);
-            assert_eq!((failed(&acts) + failed(&later), refused(&acts) + refused(&later)), (1, 0));
+            let actions = g.end_attempt(attempt_end(first, 1, again[0], Outcome::Error));
+            let later = g.advance(SEC);
+            assert_eq!(sent(&actions).len() + sent(&later).len(), 0);
+            assert_eq!((failed(&actions) + failed(&later), refused(&actions) + refused(&later)), (1, 0));
         }
     }
 }
 
 #[test]
 fn no_two_attempts_of_a_request_are_out_together() {
-    let mut g = Gateway::with_servers(settings(free()), 8);
-    assert_eq!(sent(&g.ask(request(1))).len(), 1);
-    assert_eq!(sent(&g.pass(980 * MS)).len(), 0);
+    let mut g = Gateway::with_servers(settings(no_quota()), 8);
+    assert_eq!(sent(&g.submit(request(1))).len(), 1);
+    assert_eq!(sent(&g.advance(980 * MS)).len(), 0);
 }
 
 #[test]
 fn what_is_out_is_cancelled_when_the_client_leaves_where_that_is_allowed() {
     for may_cancel in [false, true] {
-        let mut g = Gateway::with_servers(Settings { may_cancel, ..settings(free()) }, 8);
-        g.ask(request(1));
-        let acts = g.tell(Event::Withdrawn { id: 1 });
-        assert_eq!(acts.contains(&Action::Cancel { id: 1, attempt: 0 }), may_cancel);
+        let mut g = Gateway::with_servers(Settings { may_cancel, ..settings(no_quota()) }, 8);
+        g.submit(request(1));
+        let actions = g.handle(Event::Withdrawn { id: 1 });
+        assert_eq!(actions.contains(&Action::Cancel { id: 1, attempt: 0 }), may_cancel);
     }
 }
 
 #[test]
 fn a_stream_under_way_has_no_deadline_and_is_not_answered_again() {
     let mut g = gateway(Effect::Repeatable);
-    let server = sent(&g.ask(request(1)))[0];
-    g.tell(Event::Started { id: 1, attempt: 0 });
-    let mut acts = g.pass(5 * SEC);
-    acts.extend(g.back(AttemptEnd { closed: true, ..answer(1, 0, server, Outcome::Reset) }));
-    assert_eq!((sent(&acts).len(), refused(&acts), failed(&acts)), (0, 0, 0));
+    let server = sent(&g.submit(request(1)))[0];
+    g.handle(Event::Started { id: 1, attempt: 0 });
+    let mut actions = g.advance(5 * SEC);
+    actions.extend(g.end_attempt(AttemptEnd { closed: true, ..attempt_end(1, 0, server, Outcome::Reset) }));
+    assert_eq!((sent(&actions).len(), refused(&actions), failed(&actions)), (0, 0, 0));
 }
 
 #[test]
@@ -115,57 +116,58 @@
         (ListKind::Full, vec![up(2)]),
         (ListKind::Full, vec![up(2), drains]),
     ] {
-        let mut g = Gateway::with_servers(settings(free()), 2);
+        let mut g = Gateway::with_servers(settings(no_quota()), 2);
         g.list(kind, &list);
         for id in 0..50 {
-            for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
+            for server in sent(&g.submit(NewRequest { customer: id, ..request(id) })) {
                 assert_eq!(server, 2);
-                g.back(answer(id, 0, server, Outcome::Ok));
+                g.end_attempt(attempt_end(id, 0, server, Outcome::Ok));
             }
         }
     }
 }
 
-/// What a cold server is sent in a second, against a warm one, after a warm-up without it.
+/// Requests sent to a server that joins after 400 requests, and to one that was there from the start.
 fn cold_against_warm(up_since_us: Micros) -> (u32, u32) {
-    let mut g = Gateway::with_servers(settings(free()), 4);
+    let mut g = Gateway::with_servers(settings(no_quota()), 4);
     let mut hits = [0u32; 6];
     for id in 0..800 {
         if id == 400 {
             hits = [0; 6];
             g.list(ListKind::Changes, &[Entry { up_since_us, ..up(5) }]);
         }
-        for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
+        for server in sent(&g.submit(NewRequest { customer: id, ..request(id) })) {
             hits[server as usize] += 1;
-            g.back(AttemptEnd { latency_us: 9 * MS, ..answer(id, 0, server, Outcome::Ok) });
+            g.end_attempt(AttemptEnd { latency_us: 9 * MS, ..attempt_end(id, 0, server, Outcome::Ok) });
         }
-        // Several out at once, so that the limit of one at a time is not all that holds.
-        g.pass(5 * MS);
+        // Several in flight at once, so that not only the limit of one at a time applies.
+        g.advance(5 * MS);
     }
     (hits[5], hits[1])
 }
 
 #[test]
 fn a_cold_server_gets_no_more_than_its_ramp_and_a_warm_one_its_full_part() {
-    let mut set = settings(free());
+    let mut set = settings(no_quota());
     set.cold_from = 0.2;
     let mut g = Gateway::with_servers(set, 4);
     let now = g.now;
     g.list(ListKind::Changes, &[Entry { up_since_us: now, ..up(5) }]);
     let mut sends = 0;
     for id in 0..300 {
-        sends += sent(&g.ask(NewRequest { customer: id, ..request(id) })).iter().filter(|s| **s == 5).count();
+        sends +=
+            sent(&g.submit(NewRequest { customer: id, ..request(id) })).iter().filter(|s| **s == 5).count();
     }
-    assert!(sends <= 4, "{sends} held at once by a server that has just started");
+    assert!(sends <= 4, "{sends} in flight to a server that has just started");
     let (late, warm) = cold_against_warm(T0 - 100 * SEC);
     assert!(late * 2 > warm, "{late} against {warm}");
 }
 
-/// What 60 gateways with two requests a second each, just started, send together to one of 20 servers that is
-/// cold, over the fall window, against what a warm one gets.
+/// 60 gateways with two requests a second each, all just started, and 20 servers of which one is cold: compares what they
+/// send together to it and to a warm one over 2 s, the time after which an overloaded cold server fails.
 #[test]
 fn many_gateways_together_spare_a_cold_server_though_each_has_seen_nothing() {
-    let mut set = settings(free());
+    let mut set = settings(no_quota());
     (set.balancers, set.cold_from, set.fall_us) = (60, 0.3, 2 * SEC);
     let (mut cold, mut warm, mut all) = (0, 0, 0);
     for index in 0..60 {
@@ -176,91 +178,91 @@
         g.list(ListKind::Saved, &list);
         for n in 0..4 {
             let id = u64::from(index) * 8 + n;
-            for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
+            for server in sent(&g.submit(NewRequest { customer: id, ..request(id) })) {
                 all += 1;
                 cold += u32::from(server == 20);
                 warm += u32::from(server < 20);
-                g.back(answer(id, 0, server, Outcome::Ok));
+                g.end_attempt(attempt_end(id, 0, server, Outcome::Ok));
             }
-            g.pass(500 * MS);
+            g.advance(500 * MS);
         }
     }
     assert_eq!(all, 240);
-    // Warm ones get 12 each; the cold one may bear 0.3 of that, and falls at twice as much.
-    assert!(cold * 19 <= warm * 6 / 10 + 19, "{cold} to the cold one, {warm} to 19 warm ones");
+    // Warm servers get 12 each; the cold one can take 0.3 of that, and fails at twice as much.
+    assert!(cold * 19 <= warm * 6 / 10 + 19, "{cold} to the cold server, {warm} to 19 warm ones");
 }
 
 #[test]
 fn a_fleet_that_is_all_cold_still_gets_its_ramps_part() {
-    let mut g = Gateway::new(settings(free()));
+    let mut g = Gateway::new(settings(no_quota()));
     let list: Vec<Entry> = (1..=4).map(|id| Entry { up_since_us: T0 - MS, ..up(id) }).collect();
     g.list(ListKind::Saved, &list);
     let mut through = 0;
     for id in 0..400 {
-        for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
+        for server in sent(&g.submit(NewRequest { customer: id, ..request(id) })) {
             through += 1;
-            g.back(answer(id, 0, server, Outcome::Ok));
+            g.end_attempt(attempt_end(id, 0, server, Outcome::Ok));
         }
-        g.pass(5 * MS);
+        g.advance(5 * MS);
     }
-    assert!((80..240).contains(&through), "{through} of 400 at three to four tenths");
+    assert!((80..240).contains(&through), "{through} of 400 at a ramp of 0.3 to 0.4");
 }
 
 #[test]
 fn a_zone_that_comes_back_cold_relieves_the_warm_servers_by_its_ramp() {
-    let mut g = Gateway::new(settings(free()));
+    let mut g = Gateway::new(settings(no_quota()));
     let list: Vec<Entry> =
         (1..=20).map(|id| Entry { up_since_us: if id > 10 { T0 - MS } else { 0 }, ..up(id) }).collect();
     g.list(ListKind::Saved, &list);
     let mut cold = 0;
     for id in 0..1000 {
-        for server in sent(&g.ask(NewRequest { customer: id, ..request(id) })) {
+        for server in sent(&g.submit(NewRequest { customer: id, ..request(id) })) {
             cold += u32::from(server > 10);
-            g.back(answer(id, 0, server, Outcome::Ok));
+            g.end_attempt(attempt_end(id, 0, server, Outcome::Ok));
         }
-        g.pass(MS);
+        g.advance(MS);
     }
-    // Ten at a ramp of 0.3 beside ten warm ones: 230 of 1000 would use both alike, twice as much is the limit.
+    // Ten at a ramp of 0.3 beside ten warm ones: 230 of 1000 would load both alike, twice as much is the limit.
     assert!((190..300).contains(&cold), "{cold} of 1000");
 }
 
 #[test]
 fn discovery_on_request_is_asked_at_start_and_again_after_a_failure_in_time() {
-    let set = Settings { ask_for_list: true, ..settings(free()) };
+    let set = Settings { ask_for_list: true, ..settings(no_quota()) };
     let mut g = Gateway::new(set);
-    let acts = g.list(ListKind::Saved, &[up(1)]);
-    assert!(acts.contains(&Action::Watch));
+    let actions = g.list(ListKind::Saved, &[up(1)]);
+    assert!(actions.contains(&Action::Watch));
     for _ in 0..6 {
         g.list(ListKind::Failed, &[]);
-        let acts = g.pass(16 * SEC);
-        assert_eq!(acts.iter().filter(|a| **a == Action::Watch).count(), 1);
+        let actions = g.advance(16 * SEC);
+        assert_eq!(actions.iter().filter(|a| **a == Action::Watch).count(), 1);
     }
-    // The list from before still serves.
-    assert_eq!(sent(&g.ask(request(1))), [1]);
+    // The earlier list is still in use.
+    assert_eq!(sent(&g.submit(request(1))), [1]);
 }
 
 #[test]
 fn late_repeated_and_unknown_events_do_no_harm() {
-    let mut g = Gateway::with_servers(settings(free()), 2);
-    let server = sent(&g.ask(request(1)))[0];
-    g.back(answer(1, 0, server, Outcome::Ok));
-    assert!(g.back(answer(1, 0, server, Outcome::Ok)).is_empty());
-    assert!(g.back(answer(77, 3, 999, Outcome::Error)).is_empty());
-    assert!(g.back(answer(1, 9, server, Outcome::Error)).is_empty());
-    g.tell(Event::Withdrawn { id: 1 });
-    g.tell(Event::Started { id: 55, attempt: 0 });
-    g.tell(Event::Timer { token: 123 });
-    assert_eq!(sent(&g.ask(request(2))).len(), 1);
-    assert!(sent(&g.ask(request(2))).is_empty(), "an id is taken once");
+    let mut g = Gateway::with_servers(settings(no_quota()), 2);
+    let server = sent(&g.submit(request(1)))[0];
+    g.end_attempt(attempt_end(1, 0, server, Outcome::Ok));
+    assert!(g.end_attempt(attempt_end(1, 0, server, Outcome::Ok)).is_empty());
+    assert!(g.end_attempt(attempt_end(77, 3, 999, Outcome::Error)).is_empty());
+    assert!(g.end_attempt(attempt_end(1, 9, server, Outcome::Error)).is_empty());
+    g.handle(Event::Withdrawn { id: 1 });
+    g.handle(Event::Started { id: 55, attempt: 0 });
+    g.handle(Event::Timer { token: 123 });
+    assert_eq!(sent(&g.submit(request(2))).len(), 1);
+    assert!(sent(&g.submit(request(2))).is_empty(), "an id is accepted once");
 }
 
 #[test]
 fn a_class_or_plan_that_was_never_set_is_refused() {
-    let mut g = Gateway::with_servers(settings(free()), 2);
-    assert_eq!(refused(&g.ask(NewRequest { class: 9, ..request(1) })), 1);
-    assert_eq!(refused(&g.ask(NewRequest { plan: 9, ..request(2) })), 1);
+    let mut g = Gateway::with_servers(settings(no_quota()), 2);
+    assert_eq!(refused(&g.submit(NewRequest { class: 9, ..request(1) })), 1);
+    assert_eq!(refused(&g.submit(NewRequest { plan: 9, ..request(2) })), 1);
     assert_eq!(
-        sent(&g.ask(NewRequest { units: f64::NAN, spread: 0, first_gateway: 99, ..request(3) })).len(),
+        sent(&g.submit(NewRequest { units: f64::NAN, spread: 0, first_gateway: 99, ..request(3) })).len(),
         1
     );
 }
@@ -268,7 +270,7 @@
 #[test]
 fn settings_that_make_no_sense_are_rejected() {
     let good = settings(rate(4.0, 8.0));
-    let spoil: [fn(&mut Settings); 7] = [
+    let invalidate: [fn(&mut Settings); 7] = [
         |s| s.classes.clear(),
         |s| s.plans.clear(),
         |s| s.classes[0].aim_us = 0,
@@ -278,15 +280,15 @@
         |s| s.cold_from = -1.0,
     ];
     assert!(Decider::new(good.clone(), 1).is_ok());
-    for (n, spoil) in spoil.iter().enumerate() {
+    for (n, invalidate) in invalidate.iter().enumerate() {
         let mut set = good.clone();
-        spoil(&mut set);
+        invalidate(&mut set);
         assert!(Decider::new(set, 1).is_err(), "case {n}");
     }
 }
 
-/// Random traffic, outcomes, lists and settings: what must hold whatever happens.
-fn storm(seed: u64, effect: Effect) -> Vec<(Micros, Action)> {
+/// Random traffic, outcomes, lists and settings; asserts what must always hold and returns all actions.
+fn random_traffic(seed: u64, effect: Effect) -> Vec<(Micros, Action)> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut set = settings(Plan { at_once: 3 * (seed % 2) as u32, ..rate(30.0, 20.0) });
     set.classes = vec![class(effect)];
@@ -295,37 +297,37 @@
     set.cold_us *= seed % 2;
     let mut g = Gateway::with_servers(set, 6);
     let mut open: HashMap<u64, Micros> = HashMap::new();
-    let mut out: Vec<(u64, u32, u64, Micros)> = Vec::new();
+    let mut in_flight: Vec<(u64, u32, u64, Micros)> = Vec::new();
     let mut tries: HashMap<u64, u32> = HashMap::new();
     let mut down = [None; 7];
     for step in 0..30_000u64 {
         g.now += MS;
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         if rng.u32(0..300) == 0 {
             let server = rng.u64(1..7);
             let state = [State::Up, State::Draining, State::Gone][rng.usize(0..3)];
             let up_since_us = if rng.bool() { g.now } else { 0 };
             down[server as usize] = (state != State::Up).then_some(g.now);
-            acts.extend(
+            actions.extend(
                 g.list(ListKind::Changes, &[Entry { state, up_since_us, zone: 0, cell: 0, ..up(server) }]),
             );
         }
-        acts.extend(g.tell(Event::Timer { token: 0 }));
+        actions.extend(g.handle(Event::Timer { token: 0 }));
         if rng.u32(0..10) == 0 {
             let left_us = rng.u64(10..3000) * MS;
             open.insert(step, g.now + left_us);
-            acts.extend(g.ask(NewRequest { customer: rng.u64(0..12), left_us, ..request(step) }));
+            actions.extend(g.submit(NewRequest { customer: rng.u64(0..12), left_us, ..request(step) }));
         }
-        let mut turn = 0;
+        let mut rounds = 0;
         loop {
-            for act in acts.drain(..) {
+            for act in actions.drain(..) {
                 match act {
                     Action::Send { id, server, timeout_us } => {
-                        assert!(open.contains_key(&id), "sent after its end: {id}");
+                        assert!(open.contains_key(&id), "{id} sent after its final answer");
                         assert!(down[server as usize].is_none(), "sent to {server} that drains");
                         let n = tries.entry(id).or_default();
-                        let takes = rng.u64(1..1200) * MS;
-                        out.push((id, *n, server, g.now + takes.min(timeout_us)));
+                        let latency = rng.u64(1..1200) * MS;
+                        in_flight.push((id, *n, server, g.now + latency.min(timeout_us)));
                         *n += 1;
                     }
                     Action::Refuse { id, .. } | Action::Fail { id } => {
@@ -335,18 +337,18 @@
                     _ => {}
                 }
             }
-            let Some(at) = out.iter().position(|o| o.3 <= g.now) else { break };
-            let (id, attempt, server, _) = out.swap_remove(at);
-            let kinds =
+            let Some(at) = in_flight.iter().position(|a| a.3 <= g.now) else { break };
+            let (id, attempt, server, _) = in_flight.swap_remove(at);
+            let outcomes =
                 [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::TimedOut, Outcome::Full, Outcome::Reset];
-            let outcome = kinds[rng.usize(0..kinds.len())];
+            let outcome = outcomes[rng.usize(0..outcomes.len())];
             let closed = outcome == Outcome::Ok || !open.contains_key(&id);
             if outcome == Outcome::Ok {
                 open.remove(&id);
             }
-            acts = g.back(AttemptEnd { closed, ..answer(id, attempt, server, outcome) });
-            turn += 1;
-            assert!(turn < 1000);
+            actions = g.end_attempt(AttemptEnd { closed, ..attempt_end(id, attempt, server, outcome) });
+            rounds += 1;
+            assert!(rounds < 1000);
         }
         open.retain(|id, until| {
             assert!(g.now <= *until + 16 * MS, "{id} never answered");
@@ -363,7 +365,7 @@
         [Effect::Repeatable, Effect::Once, keyed(Group::All), keyed(Group::Cell)].into_iter().enumerate()
     {
         for seed in 0..6 {
-            let log = storm(seed * 7 + n as u64, effect);
+            let log = random_traffic(seed * 7 + n as u64, effect);
             assert!(log.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count() > 100);
         }
     }
@@ -371,5 +373,5 @@
 
 #[test]
 fn equal_events_give_equal_actions() {
-    assert_eq!(storm(5, Effect::Repeatable), storm(5, Effect::Repeatable));
+    assert_eq!(random_traffic(5, Effect::Repeatable), random_traffic(5, Effect::Repeatable));
 }
