--- a/crates/bench-host/src/wire.rs
+++ b/crates/bench-host/src/wire.rs
@@ -1,6 +1,6 @@
 //! Translates between the messages of the simulator's wire protocol and the types of the decision module.
 
-use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, Return, State};
+use curlewfront::{Action, AttemptEnd, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, State};
 use curlewfront_config::{settings, show};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -65,7 +65,7 @@
             "dial_failed" => Outcome::ConnectFailed,
             "dropped" => Outcome::Reset,
             "revoked" => Outcome::Cancelled,
-            "unused" => Outcome::Moot,
+            "unused" => Outcome::NotSent,
             _ => return Err(self.error(at, "the name of an ending")),
         })
     }
@@ -172,14 +172,14 @@
                 left_us: values.u64(6)?,
                 units: values.get(7).map_or(Ok(1.0), |_| values.f64(7))?,
                 spread: values.get(8).map_or(Ok(1), |_| values.u32(8))?,
-                first: values.get(9).map_or(Ok(0), |_| values.u32(9))?,
+                first_gateway: values.get(9).map_or(Ok(0), |_| values.u32(9))?,
                 repeat: values.bool_or_false(10)?,
                 ..NewRequest::default()
             }),
             "underWay" => Event::Started { id: values.u64(2)?, attempt: values.u32(3)? },
             "returned" => {
                 values.check_load(10)?;
-                Event::Returned(Return {
+                Event::AttemptEnded(AttemptEnd {
                     id: values.u64(2)?,
                     attempt: values.u32(3)?,
                     server: values.u64(4)?,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -33,9 +33,9 @@
         fall_us: rules.u64("fallUs")?,
         services: 1,
         starts_empty: false,
-        retry: None,
-        loose_under: 0.0,
-        loose_burst: 0.0,
+        retry_budget: None,
+        light_use_below: 0.0,
+        light_use_burst: 0.0,
     })
 }
 
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -5,7 +5,7 @@
 use crate::messages::{AttemptEnd, ClientRequest, DecisionMessage, InPoolGuard};
 use crate::servers::{self, ServerHandler};
 use crate::shared::Shared;
-use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, Return, State};
+use curlewfront::{Action, Decider, Entry, Event, ListKind, Micros, NewRequest, Outcome, State};
 use curlewfront_config::Members;
 use net::clock::Alarm;
 use net::door::{Answer, Reply};
@@ -238,7 +238,7 @@
             left_us,
             units,
             spread,
-            first,
+            first_gateway: first,
             repeat,
             ..NewRequest::default()
         };
@@ -267,7 +267,7 @@
             self.last_error = error;
         }
         let final_units = units.filter(|u| *u > 0.0 && *u <= most_units);
-        self.decide(Event::Returned(Return {
+        self.decide(Event::AttemptEnded(curlewfront::AttemptEnd {
             id,
             attempt,
             server,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -14,7 +14,7 @@
 use cluster::rollout::Tally;
 use cluster::state::{Command, ServerChange, State};
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
-use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome, Return};
+use curlewfront::{Action, AttemptEnd, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
 use net::limits::Held;
 use net::pool::Passage;
 use net::timeouts::Timeouts;
@@ -394,9 +394,9 @@
             units: self.tenants.draws(self.now, plan, nodes),
             service,
             zones: zones | trials,
-            zones_again: zones,
-            attempts: route.attempts,
-            reach: self.reach(route, service, zones),
+            retry_zones: zones,
+            max_attempts: route.attempts,
+            max_distance: self.reach(route, service, zones),
             booking,
             ..NewRequest::default()
         };
@@ -474,12 +474,12 @@
             one.out = false;
             let (server, latency_us) = (one.server, self.now.saturating_sub(one.sent_at));
             let (used, final_units) = (None, None);
-            let back = Return { id, attempt, server, outcome, latency_us, closed, used, final_units };
-            self.decide(Event::Returned(back), out);
+            let back = AttemptEnd { id, attempt, server, outcome, latency_us, closed, used, final_units };
+            self.decide(Event::AttemptEnded(back), out);
             self.forget(id);
         }
         while let Some(plan) = self.spent.pop() {
-            self.decide(Event::Used { customer: plan as u64, used: SPENT }, out);
+            self.decide(Event::MeterReading { customer: plan as u64, used: SPENT }, out);
         }
     }
 
@@ -495,9 +495,9 @@
     fn act(&mut self, act: Action, out: &mut Vec<Output>) {
         match act {
             Action::Send { id, server, timeout_us } => self.send(id, server, timeout_us, out),
-            Action::Refuse { id, retry_after_us, over } => {
+            Action::Refuse { id, retry_after_us, over_quota } => {
                 self.counts.refused += 1;
-                let (status, why) = if over { (429, "beyond the quota") } else { (503, "not now") };
+                let (status, why) = if over_quota { (429, "beyond the quota") } else { (503, "not now") };
                 self.answer(id, Answer::later(status, why, retry_after_us), out);
             }
             Action::Fail { id } => {
@@ -522,7 +522,7 @@
             open.tries.push(Try { server, sent_at: self.now, out: true, placed: None });
             open.closed = true;
             out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US)));
-            return self.back.push_back((id, attempt, Outcome::Moot));
+            return self.back.push_back((id, attempt, Outcome::NotSent));
         }
         let until = self.now.saturating_add(timeout_us).min(open.until);
         if attempt == 0 {
@@ -715,7 +715,7 @@
             if let Some(reading) = readings.iter().find(|r| r.tenant == key) {
                 let quota = Quota { rate, burst: self.book.even(plan, nodes).burst };
                 let used = self.tenants.read(self.now, made_at, plan, reading, nodes, quota);
-                self.decide(Event::Used { customer: plan as u64, used }, out);
+                self.decide(Event::MeterReading { customer: plan as u64, used }, out);
             }
         }
     }
