--- a/crates/proxy/src/cramp.rs
+++ b/crates/proxy/src/cramp.rs
@@ -5,7 +5,7 @@
 //! touch have heard it too; who has heard nothing for that long holds nothing. So at any time the parts that are held come
 //! to no more than one division, which every copy has checked, whoever is cut off. See docs/system/bookings.md.
 
-use crate::book::Book;
+use crate::routing_view::Book;
 use cluster::Micros;
 use cluster::booking::{Booked, Booking, Phase, Unused, key};
 use cluster::state::State;
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -11,7 +11,7 @@
 //! before the flood was read is paid back first. So what all send comes to the quota, and to what was ahead when the flood
 //! was read.
 
-use crate::book::Even;
+use crate::routing_view::Even;
 use cluster::Micros;
 use cluster::talk::{Reading, Use};
 
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -5,9 +5,9 @@
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::News;
 use net::limits::Held;
-use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
+use proxy::routing_view::{Leeway, Place};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/tests/book.rs
+++ b/crates/proxy/tests/routing_view.rs
@@ -5,7 +5,7 @@
 use cluster::state::Command;
 use common::*;
 use curlewfront::{Entry, State};
-use proxy::book::Book;
+use proxy::routing_view::Book;
 
 const SIX: [(u8, &str); 6] =
     [(1, "north-a"), (2, "north-a"), (3, "north-b"), (4, "north-b"), (5, "south-a"), (6, "south-a")];
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -5,7 +5,7 @@
 use cluster::copy::Copy;
 use cluster::talk::{Reading, Usage, tenant_key};
 use common::*;
-use proxy::book::{Book, Even};
+use proxy::routing_view::{Book, Even};
 use proxy::tenants::{Quota, Tenants};
 use registry::meter::Meter;
 
