--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -4,8 +4,8 @@
 //! What a status says is kept apart from how it came about: 429 and 503 promise that a request has not run and will not,
 //! so they go out only where that is known or where the request may run more than once anyway.
 
-use crate::cramp::{Cramp, Shown};
 use crate::drill::{Drills, Meeting, Met, Verdict};
+use crate::reservations::{Cramp, Shown};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
 use crate::routing_view::{Book, List, Peer, Place, REGION};
 use crate::tenants::{Quota, Tenants};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,11 +2,11 @@
 //! turns the agreed state into their settings; [`feed`] keeps the news coming and passes them on; [`watch`]
 //! knows the silent, [`drill`] who meets a rehearsed fault, [`rollout`] what may go to a new version, [`servers`] whose an answer is. No I/O and no clock in any of them; `main.rs` is the shell.
 
-pub mod cramp;
 pub mod drill;
 pub mod feed;
 pub mod front;
 pub mod relay;
+pub mod reservations;
 pub mod rollout;
 pub mod routing_view;
 pub mod servers;
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -2,7 +2,7 @@
 //! fleets, servers become entries of the list. Numbers are given once and never to another name, so that what is under
 //! way when a new configuration comes keeps its meaning.
 
-use crate::cramp::Times;
+use crate::reservations::Times;
 use crate::rollout::{Exposure, Placed, Side};
 use cluster::Rev;
 use cluster::rollout::{Role, Rollout, Stage};
--- a/crates/proxy/tests/cramp.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -8,8 +8,8 @@
 use cluster::state::Command;
 use cluster::talk::News;
 use common::*;
-use proxy::cramp::{Cramp, Times};
 use proxy::front::{Front, Input};
+use proxy::reservations::{Cramp, Times};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
