--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -7,7 +7,7 @@
 use crate::drill::{Drills, Meeting, Met, Verdict};
 use crate::reservations::{Cramp, Shown};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
-use crate::routing_view::{Book, List, Peer, Place, REGION};
+use crate::routing_view::{List, Peer, Place, REGION, RoutingView};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
 use cluster::drill::Rows;
@@ -191,7 +191,7 @@
     now: Micros,
     pub copy: Copy,
     config: Option<(Arc<Config>, Index)>,
-    book: Book,
+    book: RoutingView,
     decider: Decider,
     rng: fastrand::Rng,
     beat_us: Micros,
@@ -227,7 +227,7 @@
 
 impl Front {
     pub fn new(place: Place, beat_us: Micros, seed: u64, now: Micros) -> Front {
-        let book = Book::new(place.clone());
+        let book = RoutingView::new(place.clone());
         let settings = book.settings(1, 0, beat_us);
         Front {
             now,
@@ -965,7 +965,7 @@
 
 /// One of the route's services by weight, of those that have a server to be sent to.
 fn pick_service(
-    book: &Book,
+    book: &RoutingView,
     peers: &BTreeMap<u64, (Peer, bool)>,
     rng: &mut fastrand::Rng,
     route: &Route,
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -5,7 +5,7 @@
 //! touch have heard it too; who has heard nothing for that long holds nothing. So at any time the parts that are held come
 //! to no more than one division, which every copy has checked, whoever is cut off. See docs/system/bookings.md.
 
-use crate::routing_view::Book;
+use crate::routing_view::RoutingView;
 use cluster::Micros;
 use cluster::booking::{Booked, Booking, Phase, Unused, key};
 use cluster::state::State;
@@ -167,7 +167,7 @@
     }
 
     /// What to hold now, at so many proxies.
-    pub fn holds(&mut self, now: Micros, nodes: usize, book: &Book) -> Vec<Hold> {
+    pub fn holds(&mut self, now: Micros, nodes: usize, book: &RoutingView) -> Vec<Hold> {
         let mut holds = Vec::new();
         let (times, keep_us) = (self.times, self.keep_us);
         self.held.retain(|_, h| !h.over(now, keep_us));
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -145,7 +145,7 @@
     peer: Peer,
 }
 
-pub struct Book {
+pub struct RoutingView {
     place: Place,
     classes: Vec<Class>,
     class_of: Numbers,
@@ -187,8 +187,8 @@
     pub changes_at: Option<Micros>,
 }
 
-impl Book {
-    pub fn new(place: Place) -> Book {
+impl RoutingView {
+    pub fn new(place: Place) -> RoutingView {
         let (mut zones, mut named) = (Numbers::default(), Numbers::default());
         place.zones.keys().for_each(|z| {
             zones.of(z);
@@ -205,7 +205,7 @@
         let (mut class_of, mut plan_of) = (Numbers::default(), Numbers::default());
         class_of.of("");
         plan_of.of("");
-        Book {
+        RoutingView {
             place,
             classes: vec![class],
             class_of,
--- a/crates/proxy/tests/routing_view.rs
+++ b/crates/proxy/tests/routing_view.rs
@@ -5,7 +5,7 @@
 use cluster::state::Command;
 use common::*;
 use curlewfront::{Entry, State};
-use proxy::routing_view::Book;
+use proxy::routing_view::RoutingView;
 
 const SIX: [(u8, &str); 6] =
     [(1, "north-a"), (2, "north-a"), (3, "north-b"), (4, "north-b"), (5, "south-a"), (6, "south-a")];
@@ -13,7 +13,7 @@
 /// The lists that all proxies make, each entry with the name of its server and its proxy's zone.
 fn lists(now: u64, copy: &cluster::copy::Copy) -> Vec<(String, String, Entry)> {
     let all = copy.state.nodes.values().flat_map(|n| {
-        let mut book = Book::new(place(n.ip.octets()[3], &n.zone));
+        let mut book = RoutingView::new(place(n.ip.octets()[3], &n.zone));
         book.learn(copy.state.config.as_ref().expect("a configuration"), copy.state.nodes.len());
         let list = book.list(now, &copy.state);
         let peers = list.peers;
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -5,7 +5,7 @@
 use cluster::copy::Copy;
 use cluster::talk::{Reading, Usage, tenant_key};
 use common::*;
-use proxy::routing_view::{Book, Even};
+use proxy::routing_view::{Even, RoutingView};
 use proxy::tenants::{Quota, Tenants};
 use registry::meter::Meter;
 
@@ -13,14 +13,14 @@
 
 struct Site {
     copy: Copy,
-    book: Book,
+    book: RoutingView,
     plan: usize,
 }
 
 fn site(proxies: u8) -> Site {
     let all: Vec<(u8, &str)> = (1..=proxies).map(|n| (n, "north-a")).collect();
     let copy = copy(SECOND, vec![nodes(&all), config(1, &ROUTES)]);
-    let mut book = Book::new(place(1, "north-a"));
+    let mut book = RoutingView::new(place(1, "north-a"));
     book.learn(copy.state.config.as_ref().expect("a configuration"), proxies.into());
     let plan = book.plan("sedge");
     Site { copy, book, plan }
