--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -5,7 +5,7 @@
 //! so they go out only where that is known or where the request may run more than once anyway.
 
 use crate::drill::{Drills, Meeting, Met, Verdict};
-use crate::reservations::{Cramp, Shown};
+use crate::reservations::{Reservations, Shown};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
 use crate::routing_view::{List, Peer, Place, REGION, RoutingView};
 use crate::tenants::{Quota, Tenants};
@@ -205,7 +205,7 @@
     relist_at: Option<Micros>,
     listed_at: Micros,
     tenants: Tenants,
-    cramp: Cramp,
+    cramp: Reservations,
     /// What is done under each booking, and what of them was last told to the decisions.
     booked: Tenants,
     holds: Vec<Hold>,
@@ -242,7 +242,7 @@
             drills: Drills::new(place.ip, seed, beat_us),
             held: BTreeMap::new(),
             late: BTreeMap::new(),
-            cramp: Cramp::new(place.ip, place.times),
+            cramp: Reservations::new(place.ip, place.times),
             booked: Tenants::new(beat_us / 3, seed),
             holds: Vec::new(),
             look_at: Micros::MAX,
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -53,7 +53,7 @@
     pub first: u32,
 }
 
-pub struct Cramp {
+pub struct Reservations {
     me: Ipv4Addr,
     times: Times,
     held: BTreeMap<String, Held>,
@@ -66,10 +66,10 @@
     keep_us: Micros,
 }
 
-impl Cramp {
-    pub fn new(me: Ipv4Addr, times: Times) -> Cramp {
+impl Reservations {
+    pub fn new(me: Ipv4Addr, times: Times) -> Reservations {
         let (held, names) = (BTreeMap::new(), Vec::new());
-        Cramp { me, times, held, names, fresh_at: None, unsure_until: 0, keep_us: 0 }
+        Reservations { me, times, held, names, fresh_at: None, unsure_until: 0, keep_us: 0 }
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -9,7 +9,7 @@
 use cluster::talk::News;
 use common::*;
 use proxy::front::{Front, Input};
-use proxy::reservations::{Cramp, Times};
+use proxy::reservations::{Reservations, Times};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -47,14 +47,17 @@
 /// A proxy that hears each command at once, and is in touch while it is told so.
 struct One {
     copy: Copy,
-    cramp: Cramp,
+    cramp: Reservations,
     now: u64,
 }
 
 impl One {
     fn new() -> One {
-        let mut one =
-            One { copy: Copy::default(), cramp: Cramp::new(node(1, "north-a").ip, TIMES), now: SECOND };
+        let mut one = One {
+            copy: Copy::default(),
+            cramp: Reservations::new(node(1, "north-a").ip, TIMES),
+            now: SECOND,
+        };
         one.cramp.keep(2 * SECOND);
         one.cramp.fresh(one.now, Some(one.now));
         one.pass(4 * SECOND);
