--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -7,7 +7,7 @@
 use crate::drill::{Drills, Meeting, Met, Verdict};
 use crate::reservations::{Reservations, Shown};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
-use crate::routing_view::{List, Peer, Place, REGION, RoutingView};
+use crate::routing_view::{List, Peer, ProxySettings, REGION, RoutingView};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
 use cluster::drill::Rows;
@@ -195,7 +195,7 @@
     decider: Decider,
     rng: fastrand::Rng,
     beat_us: Micros,
-    place: Place,
+    place: ProxySettings,
     open: HashMap<u64, Open>,
     timeouts: Timeouts,
     timer: Option<Micros>,
@@ -226,7 +226,7 @@
 }
 
 impl Front {
-    pub fn new(place: Place, beat_us: Micros, seed: u64, now: Micros) -> Front {
+    pub fn new(place: ProxySettings, beat_us: Micros, seed: u64, now: Micros) -> Front {
         let book = RoutingView::new(place.clone());
         let settings = book.settings(1, 0, beat_us);
         Front {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -14,7 +14,7 @@
 use proxy::front::{self, Ask, End, Front, Reached};
 use proxy::reservations::Times;
 use proxy::rollout::Exposure;
-use proxy::routing_view::{Leeway, Place};
+use proxy::routing_view::{Leeway, ProxySettings};
 use proxy::servers::{self, Note};
 use proxy::watch::Watch;
 use runtime::datagram::{self, Datagrams};
@@ -103,7 +103,7 @@
         hold_us: b.contact_ms.map_or(usual.hold_us, ms),
     };
     let exposure = Exposure::of(b.exposure_share, b.exposure_margin);
-    let place = Place { ip: s.ip, zone, region, zones, leeway, times, exposure };
+    let place = ProxySettings { ip: s.ip, zone, region, zones, leeway, times, exposure };
     let node = Node {
         ip: s.ip,
         name: s.name.clone(),
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -17,7 +17,7 @@
 
 /// Who this proxy is.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ProxySettings {
     pub ip: Ipv4Addr,
     pub zone: String,
     pub region: String,
@@ -146,7 +146,7 @@
 }
 
 pub struct RoutingView {
-    place: Place,
+    place: ProxySettings,
     classes: Vec<Class>,
     class_of: Numbers,
     plans: Vec<Plan>,
@@ -188,7 +188,7 @@
 }
 
 impl RoutingView {
-    pub fn new(place: Place) -> RoutingView {
+    pub fn new(place: ProxySettings) -> RoutingView {
         let (mut zones, mut named) = (Numbers::default(), Numbers::default());
         place.zones.keys().for_each(|z| {
             zones.of(z);
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use net::limits::Held;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
 use proxy::reservations::Times;
-use proxy::routing_view::{Leeway, Place};
+use proxy::routing_view::{Leeway, ProxySettings};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -78,10 +78,10 @@
     copy
 }
 
-pub fn place(last: u8, zone: &str) -> Place {
+pub fn place(last: u8, zone: &str) -> ProxySettings {
     let n = node(last, zone);
     let zones: BTreeMap<String, String> = ZONES.map(|(z, r)| (z.into(), r.into())).into();
-    Place {
+    ProxySettings {
         ip: n.ip,
         zone: n.zone,
         region: n.region,
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -15,7 +15,7 @@
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::reservations::{Shown, Times};
-use proxy::routing_view::{Leeway, Place};
+use proxy::routing_view::{Leeway, ProxySettings};
 use proxy::watch::Watch;
 use registry::board::{self, Board, Terms};
 use serde::Serialize;
@@ -246,7 +246,7 @@
                 };
                 let (name, place) = (
                     format!("edge{}", n + 1),
-                    Place {
+                    ProxySettings {
                         ip,
                         zone: zone.0.clone(),
                         region: zone.1.clone(),
