--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -242,7 +242,7 @@
             drills: Drills::new(place.ip, seed, beat_us),
             held: BTreeMap::new(),
             late: BTreeMap::new(),
-            cramp: Reservations::new(place.ip, place.times),
+            cramp: Reservations::new(place.ip, place.booking_times),
             booked: Tenants::new(beat_us / 3, seed),
             holds: Vec::new(),
             look_at: Micros::MAX,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -12,7 +12,7 @@
 use net::room::Room;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached};
-use proxy::reservations::Times;
+use proxy::reservations::BookingTimes;
 use proxy::rollout::Exposure;
 use proxy::routing_view::{Leeway, ProxySettings};
 use proxy::servers::{self, Note};
@@ -97,13 +97,13 @@
         retry_slack: b.retry_slack.unwrap_or(RETRY.1),
     };
     let (zone, region, zones) = (s.zone.clone(), s.region.clone(), s.zones.clone());
-    let (usual, ms) = (Times::default(), |ms: u64| ms * 1000);
-    let times = Times {
+    let (usual, ms) = (BookingTimes::default(), |ms: u64| ms * 1000);
+    let times = BookingTimes {
         settle_us: b.config_apply_ms.map_or(usual.settle_us, ms),
         hold_us: b.contact_ms.map_or(usual.hold_us, ms),
     };
     let exposure = Exposure::of(b.exposure_share, b.exposure_margin);
-    let place = ProxySettings { ip: s.ip, zone, region, zones, leeway, times, exposure };
+    let place = ProxySettings { ip: s.ip, zone, region, zones, leeway, booking_times: times, exposure };
     let node = Node {
         ip: s.ip,
         name: s.name.clone(),
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -18,16 +18,16 @@
 
 /// The stated times of bookings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct BookingTimes {
     /// Within this all that are in touch have heard what is agreed.
     pub settle_us: Micros,
     /// So long after its end an open booking that nobody closes is closed here.
     pub hold_us: Micros,
 }
 
-impl Default for Times {
-    fn default() -> Times {
-        Times { settle_us: 3_000_000, hold_us: 5_000_000 }
+impl Default for BookingTimes {
+    fn default() -> BookingTimes {
+        BookingTimes { settle_us: 3_000_000, hold_us: 5_000_000 }
     }
 }
 
@@ -55,7 +55,7 @@
 
 pub struct Reservations {
     me: Ipv4Addr,
-    times: Times,
+    times: BookingTimes,
     held: BTreeMap<String, Held>,
     /// Names by their numbers, from 1; none is given twice.
     names: Vec<String>,
@@ -67,7 +67,7 @@
 }
 
 impl Reservations {
-    pub fn new(me: Ipv4Addr, times: Times) -> Reservations {
+    pub fn new(me: Ipv4Addr, times: BookingTimes) -> Reservations {
         let (held, names) = (BTreeMap::new(), Vec::new());
         Reservations { me, times, held, names, fresh_at: None, unsure_until: 0, keep_us: 0 }
     }
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -2,7 +2,7 @@
 //! fleets, servers become entries of the list. Numbers are given once and never to another name, so that what is under
 //! way when a new configuration comes keeps its meaning.
 
-use crate::reservations::Times;
+use crate::reservations::BookingTimes;
 use crate::rollout::{Exposure, Placed, Side};
 use cluster::Rev;
 use cluster::rollout::{Role, Rollout, Stage};
@@ -24,7 +24,7 @@
     /// Zones and their regions.
     pub zones: BTreeMap<String, String>,
     pub leeway: Leeway,
-    pub times: Times,
+    pub booking_times: BookingTimes,
     /// What a version on trial may get.
     pub exposure: Exposure,
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use cluster::talk::News;
 use net::limits::Held;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
-use proxy::reservations::Times;
+use proxy::reservations::BookingTimes;
 use proxy::routing_view::{Leeway, ProxySettings};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -87,7 +87,7 @@
         region: n.region,
         zones,
         leeway: Leeway { retry_ratio: 0.2, retry_slack: 50.0, ..Leeway::default() },
-        times: Times::default(),
+        booking_times: BookingTimes::default(),
         exposure: proxy::rollout::Exposure::of(None, None),
     }
 }
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -9,12 +9,12 @@
 use cluster::talk::News;
 use common::*;
 use proxy::front::{Front, Input};
-use proxy::reservations::{Reservations, Times};
+use proxy::reservations::{BookingTimes, Reservations};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
 const MS: u64 = 1000;
-const TIMES: Times = Times { settle_us: 3 * SECOND, hold_us: 5 * SECOND };
+const TIMES: BookingTimes = BookingTimes { settle_us: 3 * SECOND, hold_us: 5 * SECOND };
 
 fn booking(flight: u32, ramp_ms: u32) -> Booking {
     Booking {
@@ -182,7 +182,7 @@
     let mut log: Vec<(u64, Command)> = vec![(0, put(booking(flight, 0), 0)), (0, phase(1, Phase::Open))];
     let front = |n: u8| {
         let mut place = place(n, "north-a");
-        place.times = TIMES;
+        place.booking_times = TIMES;
         Front::new(place, SECOND, 1, 0)
     };
     let mut proxies: Vec<(Front, u64)> = (1..=3).map(|n| (front(n), 0)).collect();
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
-use proxy::reservations::{Shown, Times};
+use proxy::reservations::{BookingTimes, Shown};
 use proxy::routing_view::{Leeway, ProxySettings};
 use proxy::watch::Watch;
 use registry::board::{self, Board, Terms};
@@ -252,7 +252,7 @@
                         region: zone.1.clone(),
                         zones: zones.clone(),
                         leeway,
-                        times: Times { settle_us: b.config_apply, hold_us: b.contact },
+                        booking_times: BookingTimes { settle_us: b.config_apply, hold_us: b.contact },
                         exposure: proxy::rollout::Exposure::of(
                             Some(b.exposure_share),
                             Some(b.exposure_margin),
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -8,7 +8,7 @@
 use miette::{Result, miette};
 use nix::time::{ClockId, clock_gettime};
 use proxy::front::{Front, Input};
-use proxy::reservations::Times;
+use proxy::reservations::BookingTimes;
 use proxy::routing_view::{Leeway, ProxySettings};
 use registry::meter::Meter;
 use registry::presence::Presence;
@@ -207,7 +207,15 @@
     let zones = ZONES.iter().map(|z| (z.0.into(), z.1.into())).collect();
     let exposure = proxy::rollout::Exposure::of(None, None);
     let (zone, region) = (me.zone, me.region);
-    let place = ProxySettings { ip: me.ip, zone, region, zones, leeway, times: Times::default(), exposure };
+    let place = ProxySettings {
+        ip: me.ip,
+        zone,
+        region,
+        zones,
+        leeway,
+        booking_times: BookingTimes::default(),
+        exposure,
+    };
     Front::new(place, BEAT_US, 1, 0)
 }
 
