--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -358,7 +358,7 @@
         let plan = tenant.map_or(0, |t| self.book.plan(&t.name));
         self.tenants.asked(plan);
         let nodes = self.copy.state.nodes.len();
-        if !self.tenants.may_send(self.now, plan, self.book.even(plan, nodes), nodes) {
+        if !self.tenants.may_send(self.now, plan, self.book.even_share(plan, nodes), nodes) {
             self.counts.refused += 1;
             return Err(Answer::later(429, "beyond the quota", RETRY_US));
         }
@@ -527,7 +527,7 @@
         let until = self.now.saturating_add(timeout_us).min(open.until);
         if attempt == 0 {
             let (plan, nodes) = (open.plan, self.copy.state.nodes.len());
-            if self.tenants.sent(self.now, plan, self.book.even(plan, nodes), nodes) {
+            if self.tenants.sent(self.now, plan, self.book.even_share(plan, nodes), nodes) {
                 self.spent.push(plan);
             }
             if open.booking > 0 {
@@ -713,7 +713,7 @@
         for (plan, rate) in self.book.quotas() {
             let key = self.book.key(plan);
             if let Some(reading) = readings.iter().find(|r| r.tenant == key) {
-                let quota = Quota { rate, burst: self.book.even(plan, nodes).burst };
+                let quota = Quota { rate, burst: self.book.even_share(plan, nodes).burst };
                 let used = self.tenants.read(self.now, made_at, plan, reading, nodes, quota);
                 self.decide(Event::Used { customer: plan as u64, used }, out);
             }
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -66,12 +66,12 @@
     }
 
     /// What one of so many proxies may have of a quota on its own, and how far it may be ahead of that.
-    fn even(&self, plan: &Plan, proxies: usize) -> Even {
+    fn even_share(&self, plan: &Plan, proxies: usize) -> EvenShare {
         let n = proxies.max(1) as f64;
         // The plan's burst is what the decisions are told.
         let burst = plan.burst * n.powf(1.0 - BURST_SPLIT);
         let rest = self.excess * (plan.rate * self.period_s + burst) + (1.0 - MARGIN_AHEAD) * self.margin;
-        Even { rate: plan.rate / n, burst: burst / n, ahead: (AHEAD * rest / n).max(LEAST_AHEAD) }
+        EvenShare { rate: plan.rate / n, burst: burst / n, ahead: (AHEAD * rest / n).max(LEAST_AHEAD) }
     }
 
     fn burst(&self, rate: f64, burst: f64) -> f64 {
@@ -84,7 +84,7 @@
 
 /// One proxy's even share of a quota.
 #[derive(Clone, Copy, Debug)]
-pub struct Even {
+pub struct EvenShare {
     pub rate: f64,
     pub burst: f64,
     /// So many requests may be sent ahead of it that no reading has told of.
@@ -239,8 +239,8 @@
     }
 
     /// The even share of a plan over so many proxies.
-    pub fn even(&self, plan: usize, nodes: usize) -> Even {
-        self.place.leeway.even(&self.plans[plan], nodes)
+    pub fn even_share(&self, plan: usize, nodes: usize) -> EvenShare {
+        self.place.leeway.even_share(&self.plans[plan], nodes)
     }
 
     /// What a plan's tenant is called in reports.
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -11,7 +11,7 @@
 //! before the flood was read is paid back first. So what all send comes to the quota, and to what was ahead when the flood
 //! was read.
 
-use crate::routing_view::Even;
+use crate::routing_view::EvenShare;
 use cluster::Micros;
 use cluster::talk::{Reading, Use};
 
@@ -55,7 +55,7 @@
 
 impl Tenant {
     /// What is left of this proxy's share now. In a flood the scaled share counts, which may be less than the even one.
-    fn earned(&self, now: Micros, even: Even, nodes: usize, flooded: bool) -> f64 {
+    fn earned(&self, now: Micros, even: EvenShare, nodes: usize, flooded: bool) -> f64 {
         let scaled = if flooded { EARNED * nodes as f64 / self.spread.max(1.0) } else { 1.0 };
         let passed_s = now.saturating_sub(self.own_at) as f64 / 1e6;
         let most = if flooded { even.burst.max(1.0) } else { even.burst };
@@ -107,7 +107,7 @@
     }
 
     /// True if that was the last that may be sent here ahead of the even share.
-    pub fn sent(&mut self, now: Micros, plan: usize, even: Even, nodes: usize) -> bool {
+    pub fn sent(&mut self, now: Micros, plan: usize, even: EvenShare, nodes: usize) -> bool {
         let granted = (1.0 / f64::from(self.spread(now, plan, nodes)) - 1.0 / nodes.max(1) as f64).max(0.0);
         let granted = granted * even.rate * nodes as f64 * GRANTED * self.every_us as f64 / 1e6;
         let (ahead, flooded) = (even.ahead + granted, self.is_flooded(now, plan));
@@ -125,7 +125,7 @@
     }
 
     /// Whether one more may be sent on by what is earned here: in a flood, what was sent ahead is paid back first.
-    pub fn may_send(&self, now: Micros, plan: usize, even: Even, nodes: usize) -> bool {
+    pub fn may_send(&self, now: Micros, plan: usize, even: EvenShare, nodes: usize) -> bool {
         if plan == 0 || even.rate <= 0.0 {
             return true;
         }
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -5,7 +5,7 @@
 use cluster::copy::Copy;
 use cluster::talk::{Reading, Usage, tenant_key};
 use common::*;
-use proxy::routing_view::{Even, RoutingView};
+use proxy::routing_view::{EvenShare, RoutingView};
 use proxy::tenants::{Quota, Tenants};
 use registry::meter::Meter;
 
@@ -156,7 +156,7 @@
 #[test]
 fn what_is_sent_ahead_of_the_even_share_is_bounded_once_nobody_is_heard() {
     let site = site(10);
-    let even = Even { rate: 6.0, burst: 2.0, ahead: 3.0 };
+    let even = EvenShare { rate: 6.0, burst: 2.0, ahead: 3.0 };
     let (mut tenants, usage) = site.proxy(1, 8);
     let mut meter = Meter::new(EVERY);
     meter.take(SECOND + EVERY, usage, false);
@@ -189,7 +189,7 @@
 #[test]
 fn in_a_flood_a_proxy_sends_what_its_share_earns_and_pays_back_first() {
     let site = site(10);
-    let even = Even { rate: 6.0, burst: 2.0, ahead: 13.0 };
+    let even = EvenShare { rate: 6.0, burst: 2.0, ahead: 13.0 };
     let quota = Quota { rate: 60.0, burst: even.burst };
     for seed in 0..20 {
         let mut tenants = Tenants::new(EVERY, seed);
@@ -224,7 +224,7 @@
 #[test]
 fn in_a_flood_proxies_with_less_than_a_request_each_send_in_turn() {
     let site = site(87);
-    let even = Even { rate: 24.0 / 87.0, burst: 24.0 / 87.0, ahead: 2.0 };
+    let even = EvenShare { rate: 24.0 / 87.0, burst: 24.0 / 87.0, ahead: 2.0 };
     let quota = Quota { rate: 24.0, burst: even.burst };
     let mut proxies: Vec<Tenants> = (0..87).map(|seed| Tenants::new(EVERY, seed)).collect();
     let mut sent = 0;
@@ -267,7 +267,7 @@
 /// A reading that calls a flood over just after many proxies have begun anew lets nobody send ahead.
 #[test]
 fn nothing_is_sent_ahead_for_a_while_after_a_flood() {
-    let (quota, even) = (Quota { rate: 10.0, burst: 0.5 }, Even { rate: 0.1, burst: 0.5, ahead: 2.0 });
+    let (quota, even) = (Quota { rate: 10.0, burst: 0.5 }, EvenShare { rate: 0.1, burst: 0.5, ahead: 2.0 });
     let flood = Reading { tenant: 0, wanted: 60_000, used: 9_000, shares: 100_000 };
     let over = Reading { tenant: 0, wanted: 3_000, used: 3_000, shares: 100_000 };
     let mut tenants = Tenants::new(EVERY, 1);
