--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -5,7 +5,7 @@
 //! so they go out only where that is known or where the request may run more than once anyway.
 
 use crate::drill::{Drills, Meeting, Met, Verdict};
-use crate::reservations::{Reservations, Shown};
+use crate::reservations::{ReservationStatus, Reservations};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
 use crate::routing_view::{List, Peer, ProxySettings, REGION, RoutingView};
 use crate::tenants::{Quota, Tenants};
@@ -839,8 +839,8 @@
     }
 
     /// What is held of each booking here, for who watches.
-    pub fn bookings(&self) -> BTreeMap<&str, Shown> {
-        self.cramp.show(self.now)
+    pub fn bookings(&self) -> BTreeMap<&str, ReservationStatus> {
+        self.cramp.status(self.now)
     }
 
     /// Sets the decisions by the configuration and by how many proxies there are.
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -46,7 +46,7 @@
 
 /// What this proxy shows of a booking.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shown {
+pub struct ReservationStatus {
     pub open: bool,
     /// In force now.
     pub part: u32,
@@ -218,12 +218,12 @@
     }
 
     /// What is held of each booking, for who watches.
-    pub fn show(&self, now: Micros) -> BTreeMap<&str, Shown> {
+    pub fn status(&self, now: Micros) -> BTreeMap<&str, ReservationStatus> {
         let sure = !self.stale(now) && now >= self.unsure_until;
         let one = |h: &Held| {
             let part = if sure { h.in_force(now) } else { 0 };
             let open = h.opened_at.is_some() && h.closed_at.is_none();
-            Shown { open, part, first: whole(part, h.taken_up(now, self.times.hold_us)) }
+            ReservationStatus { open, part, first: whole(part, h.taken_up(now, self.times.hold_us)) }
         };
         self.held.iter().map(|(name, h)| (name.as_str(), one(h))).collect()
     }
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -80,11 +80,11 @@
     }
 
     fn part(&self) -> u32 {
-        self.cramp.show(self.now).get("night").map_or(0, |s| s.part)
+        self.cramp.status(self.now).get("night").map_or(0, |s| s.part)
     }
 
     fn first(&self) -> u32 {
-        self.cramp.show(self.now).get("night").map_or(0, |s| s.first)
+        self.cramp.status(self.now).get("night").map_or(0, |s| s.first)
     }
 
     fn taken(&self) -> bool {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
-use proxy::reservations::{BookingTimes, Shown};
+use proxy::reservations::{BookingTimes, ReservationStatus};
 use proxy::routing_view::{Leeway, ProxySettings};
 use proxy::watch::Watch;
 use registry::board::{self, Board, Terms};
@@ -121,7 +121,7 @@
     idle: BTreeMap<u64, Vec<ConnId>>,
     asked_at: Option<Micros>,
     /// What was last noted of the bookings held.
-    held: BTreeMap<String, Shown>,
+    held: BTreeMap<String, ReservationStatus>,
 }
 
 struct Carried {
@@ -740,13 +740,13 @@
     fn held(&mut self, n: usize, p: &mut Process<Proxy>) {
         let (at, edge, life) = (self.now, self.record.cores + n, p.life);
         let (shown, held) = (p.machine.front.bookings(), &mut p.machine.held);
-        let none = Shown { open: false, part: 0, first: 0 };
+        let none = ReservationStatus { open: false, part: 0, first: 0 };
         let names: BTreeSet<String> =
             held.keys().cloned().chain(shown.keys().map(|k| k.to_string())).collect();
         for booking in names {
             let now = shown.get(booking.as_str()).copied().unwrap_or(none);
             if held.insert(booking.clone(), now) != Some(now) {
-                let Shown { open, part, first } = now;
+                let ReservationStatus { open, part, first } = now;
                 self.record.held.push(record::Held { at, edge, life, booking, open, part, first });
             }
         }
