--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -7,7 +7,7 @@
 use crate::drill::{Drills, Meeting, Met, Verdict};
 use crate::reservations::{ReservationStatus, Reservations};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
-use crate::routing_view::{List, Peer, ProxySettings, REGION, RoutingView};
+use crate::routing_view::{Peer, ProxySettings, REGION, RoutingView, ServerList};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
 use cluster::drill::Rows;
@@ -858,7 +858,8 @@
     }
 
     fn relist(&mut self, out: &mut Vec<Output>) {
-        let List { entries, peers, placed, changes_at } = self.book.list(self.now, &self.copy.state);
+        let ServerList { entries, peers, placed, changes_at } =
+            self.book.server_list(self.now, &self.copy.state);
         (self.relist_at, self.listed_at, self.placed) = (changes_at, self.now, placed);
         let gone: Vec<u64> = self.peers.keys().filter(|n| !peers.contains_key(n)).copied().collect();
         for server in gone {
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -178,7 +178,7 @@
 }
 
 /// The list as it is now, and when it will be another one though nothing new is heard.
-pub struct List {
+pub struct ServerList {
     pub entries: Vec<Entry>,
     /// With whether each may get more.
     pub peers: BTreeMap<u64, (Peer, bool)>,
@@ -343,9 +343,13 @@
 
     /// The list of servers as the decisions are to see it. It is made anew at each change of any server, at each proxy:
     /// so all that is looked up for a server goes by numbers, and what is said of it is kept.
-    pub fn list(&mut self, now: Micros, state: &State) -> List {
-        let mut list =
-            List { entries: Vec::new(), peers: BTreeMap::new(), placed: BTreeMap::new(), changes_at: None };
+    pub fn server_list(&mut self, now: Micros, state: &State) -> ServerList {
+        let mut list = ServerList {
+            entries: Vec::new(),
+            peers: BTreeMap::new(),
+            placed: BTreeMap::new(),
+            changes_at: None,
+        };
         let duties = duties(state, self.place.exposure.share);
         let duty = |s: &Server| duties.get(s.id.as_str()).copied().unwrap_or(Duty::Regular);
         let known: Vec<Known> = state.servers.values().map(|s| self.known(s)).collect();
