--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -847,7 +847,7 @@
     fn settle_in(&mut self) {
         let (nodes, index) = self.among;
         if let Some((config, _)) = &self.config {
-            self.book.learn(config, nodes);
+            self.book.apply_config(config, nodes);
             let longest = config.routes.iter().map(|r| r.deadline_ms).max().unwrap_or(0);
             self.cramp.keep(longest * 1000);
         }
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -289,7 +289,7 @@
     }
 
     /// Takes a configuration over, at so many proxies.
-    pub fn learn(&mut self, config: &Config, nodes: usize) {
+    pub fn apply_config(&mut self, config: &Config, nodes: usize) {
         for route in &config.routes {
             let class = Class {
                 aim_us: (route.target_ms * 1000).max(1),
--- a/crates/proxy/tests/routing_view.rs
+++ b/crates/proxy/tests/routing_view.rs
@@ -14,7 +14,7 @@
 fn lists(now: u64, copy: &cluster::copy::Copy) -> Vec<(String, String, Entry)> {
     let all = copy.state.nodes.values().flat_map(|n| {
         let mut book = RoutingView::new(place(n.ip.octets()[3], &n.zone));
-        book.learn(copy.state.config.as_ref().expect("a configuration"), copy.state.nodes.len());
+        book.apply_config(copy.state.config.as_ref().expect("a configuration"), copy.state.nodes.len());
         let list = book.server_list(now, &copy.state);
         let peers = list.peers;
         list.entries.into_iter().map(move |e| (peers[&e.server].0.id.to_string(), n.zone.clone(), e))
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -21,7 +21,7 @@
     let all: Vec<(u8, &str)> = (1..=proxies).map(|n| (n, "north-a")).collect();
     let copy = copy(SECOND, vec![nodes(&all), config(1, &ROUTES)]);
     let mut book = RoutingView::new(place(1, "north-a"));
-    book.learn(copy.state.config.as_ref().expect("a configuration"), proxies.into());
+    book.apply_config(copy.state.config.as_ref().expect("a configuration"), proxies.into());
     let plan = book.plan("sedge");
     Site { copy, book, plan }
 }
