--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -459,7 +459,7 @@
         };
         if wrong {
             self.counts.misled += 1;
-            self.book.mislead(server);
+            self.book.mark_misdirected(server);
             self.relist_at = Some(self.now);
         }
         self.back.push_back((id, attempt, outcome));
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -337,7 +337,7 @@
     }
 
     /// This server answered as another one: what is listed under its name is gone, told or not.
-    pub fn mislead(&mut self, server: u64) {
+    pub fn mark_misdirected(&mut self, server: u64) {
         self.misled.insert(server);
     }
 
