--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -696,7 +696,7 @@
 
     /// What is done here for tenants, for the next report.
     pub fn uses(&mut self, now: Micros) -> Vec<Use> {
-        let mut uses = self.tenants.uses(now, |plan| self.book.key(plan));
+        let mut uses = self.tenants.uses(now, |plan| self.book.report_key(plan));
         if !self.cramp.is_empty() {
             uses.extend(self.booked.uses(now, |number| self.cramp.key(number)));
         }
@@ -711,7 +711,7 @@
     fn meter(&mut self, readings: &[Reading], made_at: Micros, out: &mut Vec<Output>) {
         let nodes = self.copy.state.nodes.len();
         for (plan, rate) in self.book.quotas() {
-            let key = self.book.key(plan);
+            let key = self.book.report_key(plan);
             if let Some(reading) = readings.iter().find(|r| r.tenant == key) {
                 let quota = Quota { rate, burst: self.book.even_share(plan, nodes).burst };
                 let used = self.tenants.read(self.now, made_at, plan, reading, nodes, quota);
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -244,7 +244,7 @@
     }
 
     /// What a plan's tenant is called in reports.
-    pub fn key(&self, plan: usize) -> u32 {
+    pub fn report_key(&self, plan: usize) -> u32 {
         self.keys.get(plan).copied().unwrap_or(0)
     }
 
