--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -345,7 +345,7 @@
         let mut zones =
             self.book.within(&route.homes) & tenant.map_or(u64::MAX, |t| self.book.within(&t.homes));
         if let Some(Fault::UnreachableZone(zone)) = &rehearsed {
-            zones &= self.book.without(zone);
+            zones &= self.book.zones_except(zone);
         }
         zones = self.book.without_trials(zones);
         if zones == 0 {
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -253,7 +253,7 @@
     }
 
     /// All zones but this one, as a set of bits.
-    pub fn without(&self, zone: &str) -> u64 {
+    pub fn zones_except(&self, zone: &str) -> u64 {
         self.zones.known(zone).filter(|n| *n < 64).map_or(u64::MAX, |n| !(1 << n))
     }
 
