--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -342,8 +342,8 @@
 
     fn admit(&mut self, ask: Ask, rehearsed: Option<Fault>) -> Result<NewRequest, Answer> {
         let (route, tenant) = whose(&self.config, &ask)?;
-        let mut zones =
-            self.book.within(&route.homes) & tenant.map_or(u64::MAX, |t| self.book.within(&t.homes));
+        let mut zones = self.book.zones_in_regions(&route.homes)
+            & tenant.map_or(u64::MAX, |t| self.book.zones_in_regions(&t.homes));
         if let Some(Fault::UnreachableZone(zone)) = &rehearsed {
             zones &= self.book.zones_except(zone);
         }
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -258,7 +258,7 @@
     }
 
     /// The zones in these regions, as a set of bits; none named: all zones.
-    pub fn within(&self, regions: &[String]) -> u64 {
+    pub fn zones_in_regions(&self, regions: &[String]) -> u64 {
         if regions.is_empty() {
             return u64::MAX;
         }
@@ -281,7 +281,8 @@
         if !self.has_trial_zones() {
             return 0;
         }
-        (zones & self.within(std::slice::from_ref(&self.place.region)) & REGULAR_MASK) << TRIAL_ZONES
+        (zones & self.zones_in_regions(std::slice::from_ref(&self.place.region)) & REGULAR_MASK)
+            << TRIAL_ZONES
     }
 
     fn has_trial_zones(&self) -> bool {
