--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -347,7 +347,7 @@
         if let Some(Fault::UnreachableZone(zone)) = &rehearsed {
             zones &= self.book.zones_except(zone);
         }
-        zones = self.book.without_trials(zones);
+        zones = self.book.regular_zones(zones);
         if zones == 0 {
             return Err(Answer::later(503, "no region may serve this", RETRY_US));
         }
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -272,7 +272,7 @@
     }
 
     /// The bits of the zones whose servers a request may go to that goes to none on trial.
-    pub fn without_trials(&self, zones: u64) -> u64 {
+    pub fn regular_zones(&self, zones: u64) -> u64 {
         if self.has_trial_zones() { zones & REGULAR_MASK } else { zones }
     }
 
