--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -368,7 +368,7 @@
         }
         let route_key = tenant_key(&route.name);
         let reserved = rehearsed.is_none() && self.rollouts.reserve(service, route_key);
-        let trials = if reserved { self.book.trials_in(zones) } else { 0 };
+        let trials = if reserved { self.book.trial_zones(zones) } else { 0 };
         let open = Open {
             name: ask.name.clone(),
             passage: Arc::new(Passage { head: head(&ask, tenant), body: ask.body }),
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -277,7 +277,7 @@
     }
 
     /// The bits of the servers on trial of this region, in the given zones.
-    pub fn trials_in(&self, zones: u64) -> u64 {
+    pub fn trial_zones(&self, zones: u64) -> u64 {
         if !self.has_trial_zones() {
             return 0;
         }
