--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -7,7 +7,7 @@
 use crate::drill::{Drills, Meeting, Met, Verdict};
 use crate::reservations::{ReservationStatus, Reservations};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
-use crate::routing_view::{Peer, ProxySettings, REGION, RoutingView, ServerList};
+use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
 use cluster::drill::Rows;
@@ -408,10 +408,10 @@
     /// worth.
     fn reach(&self, route: &Route, service: u32, zones: u64) -> u32 {
         let here = |(p, up): &(Peer, bool)| {
-            *up && p.service == service && p.near <= REGION && (p.zone >= 64 || zones & 1 << p.zone != 0)
+            *up && p.service == service && p.near <= SAME_REGION && (p.zone >= 64 || zones & 1 << p.zone != 0)
         };
         if route.kind == Kind::Download && self.peers.values().any(here) {
-            self.book.reach(service, REGION)
+            self.book.reach(service, SAME_REGION)
         } else {
             u32::MAX
         }
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -98,7 +98,7 @@
 /// What is expected to come through here of the work of servers that are not the nearest: an even part of it.
 const ELSEWHERE: f64 = 1.0;
 /// How far a server of another zone of this region is.
-pub const REGION: u32 = 1;
+pub const SAME_REGION: u32 = 1;
 /// How near servers on trial are as the decisions see it. All others of their service are farther by one meanwhile, so that
 /// those on trial come first for requests that may go there.
 const TRIAL_NEAR: u32 = 0;
