--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -772,7 +772,7 @@
                     let one = News::Run { from, to: rev, commands: vec![(rev, command)] };
                     if self.copy.take(self.now, one) == Took::Changed {
                         changed = true;
-                        self.cramp.learn(self.now, &self.copy.state, false);
+                        self.cramp.apply_state(self.now, &self.copy.state, false);
                     }
                     from = rev;
                 }
@@ -783,7 +783,7 @@
                 changed = self.copy.take(self.now, news) == Took::Changed;
                 let any = booked || !self.copy.state.bookings.is_empty();
                 if changed && any {
-                    self.cramp.learn(self.now, &self.copy.state, true);
+                    self.cramp.apply_state(self.now, &self.copy.state, true);
                 }
             }
             News::Run { .. } => changed = self.copy.take(self.now, news) == Took::Changed,
@@ -834,7 +834,7 @@
     /// Holds what this state has of bookings, which no news told of: for baselines that agree on nothing.
     pub fn hold_alone(&mut self, now: Micros, state: &State) {
         self.now = self.now.max(now);
-        self.cramp.learn(self.now, state, false);
+        self.cramp.apply_state(self.now, state, false);
         self.look_at = self.now;
     }
 
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -96,7 +96,7 @@
     }
 
     /// Takes over what is agreed, after each single change of it; `jumped`: divisions between may have been passed over.
-    pub fn learn(&mut self, now: Micros, state: &State, jumped: bool) {
+    pub fn apply_state(&mut self, now: Micros, state: &State, jumped: bool) {
         if jumped {
             self.unsure_until = now + self.times.settle_us;
         }
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -67,7 +67,7 @@
     fn learn(&mut self, command: Command) {
         let rev = self.copy.rev() + 1;
         self.copy.apply(self.now, rev, Some(command));
-        self.cramp.learn(self.now, &self.copy.state, false);
+        self.cramp.apply_state(self.now, &self.copy.state, false);
     }
 
     /// Time passes in touch.
