--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -849,7 +849,7 @@
         if let Some((config, _)) = &self.config {
             self.book.apply_config(config, nodes);
             let longest = config.routes.iter().map(|r| r.deadline_ms).max().unwrap_or(0);
-            self.cramp.keep(longest * 1000);
+            self.cramp.set_longest_request(longest * 1000);
         }
         let balancers = nodes.max(index + 1) as u32;
         let settings = self.book.settings(balancers, index as u32, self.beat_us);
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -77,7 +77,7 @@
     }
 
     /// How long a request may take by the configuration.
-    pub fn keep(&mut self, longest_us: Micros) {
+    pub fn set_longest_request(&mut self, longest_us: Micros) {
         self.keep_us = longest_us;
     }
 
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -58,7 +58,7 @@
             cramp: Reservations::new(node(1, "north-a").ip, TIMES),
             now: SECOND,
         };
-        one.cramp.keep(2 * SECOND);
+        one.cramp.set_longest_request(2 * SECOND);
         one.cramp.fresh(one.now, Some(one.now));
         one.pass(4 * SECOND);
         one
