--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -809,7 +809,7 @@
     /// When this proxy last held all that was acknowledged, as the feed has it.
     pub fn fresh(&mut self, now: Micros, at: Option<Micros>) {
         self.now = self.now.max(now);
-        if self.cramp.fresh(self.now, at) && !self.cramp.is_empty() {
+        if self.cramp.set_fresh_at(self.now, at) && !self.cramp.is_empty() {
             self.look_at = self.now;
         }
     }
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -82,7 +82,7 @@
     }
 
     /// When this proxy last held all that was acknowledged; whether it had been out of touch. Then it begins anew.
-    pub fn fresh(&mut self, now: Micros, at: Option<Micros>) -> bool {
+    pub fn set_fresh_at(&mut self, now: Micros, at: Option<Micros>) -> bool {
         let lapsed = at != self.fresh_at && self.stale(now);
         if lapsed {
             self.unsure_until = now + self.times.settle_us;
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -59,7 +59,7 @@
             now: SECOND,
         };
         one.cramp.set_longest_request(2 * SECOND);
-        one.cramp.fresh(one.now, Some(one.now));
+        one.cramp.set_fresh_at(one.now, Some(one.now));
         one.pass(4 * SECOND);
         one
     }
@@ -75,7 +75,7 @@
         let until = self.now + us;
         while self.now < until {
             self.now = (self.now + 500 * MS).min(until);
-            self.cramp.fresh(self.now, Some(self.now));
+            self.cramp.set_fresh_at(self.now, Some(self.now));
         }
     }
 
