--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -803,7 +803,7 @@
         }
         let to = route.to.iter().find(|(name, _)| self.book.service(name) == Some(service));
         let to = to.map_or("", |(name, _)| name);
-        self.cramp.booking(self.now, tenant.map(|t| t.name.as_str()), &route.name, to)
+        self.cramp.booking_number(self.now, tenant.map(|t| t.name.as_str()), &route.name, to)
     }
 
     /// When this proxy last held all that was acknowledged, as the feed has it.
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -147,7 +147,7 @@
     }
 
     /// The number of the booking that a request comes under now; 0: none.
-    pub fn booking(&self, now: Micros, tenant: Option<&str>, route: &str, service: &str) -> u32 {
+    pub fn booking_number(&self, now: Micros, tenant: Option<&str>, route: &str, service: &str) -> u32 {
         let fits = |h: &&Held| {
             let b = &h.booking;
             let of = |names: &[String], name: Option<&str>| {
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -88,7 +88,7 @@
     }
 
     fn taken(&self) -> bool {
-        self.cramp.booking(self.now, Some("reed"), "get", "heron") > 0
+        self.cramp.booking_number(self.now, Some("reed"), "get", "heron") > 0
     }
 }
 
@@ -129,8 +129,8 @@
     }
     assert_eq!(firsts, [0, 1, 2, 3, 4, 5, 6, 7, 8]);
     assert!(one.taken());
-    assert_eq!(one.cramp.booking(one.now, Some("rush"), "get", "heron"), 0);
-    assert_eq!(one.cramp.booking(one.now, Some("reed"), "get", "stilt"), 0);
+    assert_eq!(one.cramp.booking_number(one.now, Some("rush"), "get", "heron"), 0);
+    assert_eq!(one.cramp.booking_number(one.now, Some("reed"), "get", "stilt"), 0);
     one.learn(phase(2, Phase::Closing));
     one.pass(2 * SECOND);
     assert_eq!((one.first(), one.taken()), (4, true));
