--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -698,7 +698,7 @@
     pub fn uses(&mut self, now: Micros) -> Vec<Use> {
         let mut uses = self.tenants.uses(now, |plan| self.book.report_key(plan));
         if !self.cramp.is_empty() {
-            uses.extend(self.booked.uses(now, |number| self.cramp.key(number)));
+            uses.extend(self.booked.uses(now, |number| self.cramp.report_key(number)));
         }
         uses
     }
--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -162,7 +162,7 @@
     }
 
     /// Under this the use of a booking is reported.
-    pub fn key(&self, number: usize) -> u32 {
+    pub fn report_key(&self, number: usize) -> u32 {
         number.checked_sub(1).and_then(|n| self.names.get(n)).map_or(0, |name| key(name))
     }
 
