--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -22,7 +22,7 @@
 const FEWEST: u32 = 10;
 
 /// A request as a rule sees it.
-pub struct Meeting<'a> {
+pub struct DrilledRequest<'a> {
     pub id: u64,
     pub tenant: Option<&'a str>,
     pub key: Option<&'a str>,
@@ -175,7 +175,7 @@
         }
     }
 
-    pub fn meets(&mut self, now: Micros, m: &Meeting) -> Verdict {
+    pub fn meets(&mut self, now: Micros, m: &DrilledRequest) -> Verdict {
         let found = self.rules.iter_mut().find(|(_, rule)| rule.acts(now) && rule.matches(m));
         let Some((epoch, rule)) = found else { return Verdict::Pass };
         let epoch = *epoch;
@@ -281,7 +281,7 @@
         now < self.ends.min(self.heard_until) && !self.guard.tripped
     }
 
-    fn matches(&self, m: &Meeting) -> bool {
+    fn matches(&self, m: &DrilledRequest) -> bool {
         let c = &self.drill.caller;
         let is = |want: &Option<String>, found: Option<&str>| want.is_none() || want.as_deref() == found;
         let key = || m.key.map(key_name);
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -4,7 +4,7 @@
 //! What a status says is kept apart from how it came about: 429 and 503 promise that a request has not run and will not,
 //! so they go out only where that is known or where the request may run more than once anyway.
 
-use crate::drill::{Drills, Meeting, Met, Verdict};
+use crate::drill::{DrilledRequest, Drills, Met, Verdict};
 use crate::reservations::{ReservationStatus, Reservations};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
 use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
@@ -619,7 +619,7 @@
     fn rehearses(&mut self, ask: &Ask) -> Verdict {
         // What no configuration allows is refused as ever.
         let Ok((route, tenant)) = whose(&self.config, ask) else { return Verdict::Pass };
-        let meeting = Meeting {
+        let meeting = DrilledRequest {
             id: ask.id,
             tenant: tenant.map(|t| t.name.as_str()),
             key: ask.key.as_deref(),
