--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -35,11 +35,11 @@
 
 /// What becomes of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DrillDecision {
     Pass,
     /// Asked for; `granted` tells, or `late` after this time.
     Hold(Micros),
-    Meets(Met),
+    Inject(Met),
 }
 
 /// A request that meets its fault.
@@ -175,29 +175,31 @@
         }
     }
 
-    pub fn meets(&mut self, now: Micros, m: &DrilledRequest) -> Verdict {
+    pub fn meets(&mut self, now: Micros, m: &DrilledRequest) -> DrillDecision {
         let found = self.rules.iter_mut().find(|(_, rule)| rule.acts(now) && rule.matches(m));
-        let Some((epoch, rule)) = found else { return Verdict::Pass };
+        let Some((epoch, rule)) = found else { return DrillDecision::Pass };
         let epoch = *epoch;
         self.callers.insert(m.id, epoch);
         if !drawn(m.attempt, epoch, rule.drill.share) {
-            return Verdict::Pass;
+            return DrillDecision::Pass;
         }
         let account = self.accounts.entry(epoch).or_insert(Account { first: 1, ..Account::default() });
         if account.untold.len() >= MOST_UNTOLD {
-            return Verdict::Pass;
+            return DrillDecision::Pass;
         }
         let attempt = String::from_utf8_lossy(m.attempt).into_owned();
         if rule.drill.count.is_none() {
-            return self.meet(m.id, epoch, None, Some(attempt)).map_or(Verdict::Pass, Verdict::Meets);
+            return self
+                .meet(m.id, epoch, None, Some(attempt))
+                .map_or(DrillDecision::Pass, DrillDecision::Inject);
         }
         if let Some(grant) = rule.spare.pop() {
             let met = self.meet(m.id, epoch, Some(grant), Some(attempt));
-            return met.map_or(Verdict::Pass, Verdict::Meets);
+            return met.map_or(DrillDecision::Pass, DrillDecision::Inject);
         }
         let number = account.say(Said::Ask(attempt));
         rule.asked.insert(number, Some(m.id));
-        Verdict::Hold(now + HOLD_US.min(m.left_us / HOLD_PART))
+        DrillDecision::Hold(now + HOLD_US.min(m.left_us / HOLD_PART))
     }
 
     /// Notes that a request meets its fault. `attempt`: as it was not told when it was asked for.
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -4,7 +4,7 @@
 //! What a status says is kept apart from how it came about: 429 and 503 promise that a request has not run and will not,
 //! so they go out only where that is known or where the request may run more than once anyway.
 
-use crate::drill::{DrilledRequest, Drills, Met, Verdict};
+use crate::drill::{DrillDecision, DrilledRequest, Drills, Met};
 use crate::reservations::{ReservationStatus, Reservations};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
 use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
@@ -324,11 +324,11 @@
 
     fn asked(&mut self, ask: Ask, out: &mut Vec<Output>) {
         self.counts.asked += 1;
-        let verdict = if self.drills.idle() { Verdict::Pass } else { self.rehearses(&ask) };
+        let verdict = if self.drills.idle() { DrillDecision::Pass } else { self.rehearses(&ask) };
         match verdict {
-            Verdict::Pass => self.take(ask, None, out),
-            Verdict::Hold(until) => _ = self.held.insert(ask.id, (ask, self.now, until)),
-            Verdict::Meets(met) => self.strike(ask, met, out),
+            DrillDecision::Pass => self.take(ask, None, out),
+            DrillDecision::Hold(until) => _ = self.held.insert(ask.id, (ask, self.now, until)),
+            DrillDecision::Inject(met) => self.strike(ask, met, out),
         }
     }
 
@@ -616,9 +616,9 @@
     // ---- drills ----
 
     /// What becomes of a request whose caller may be drilled.
-    fn rehearses(&mut self, ask: &Ask) -> Verdict {
+    fn rehearses(&mut self, ask: &Ask) -> DrillDecision {
         // What no configuration allows is refused as ever.
-        let Ok((route, tenant)) = whose(&self.config, ask) else { return Verdict::Pass };
+        let Ok((route, tenant)) = whose(&self.config, ask) else { return DrillDecision::Pass };
         let meeting = DrilledRequest {
             id: ask.id,
             tenant: tenant.map(|t| t.name.as_str()),
