--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -39,12 +39,12 @@
     Pass,
     /// Asked for; `granted` tells, or `late` after this time.
     Hold(Micros),
-    Inject(Met),
+    Inject(InjectedFault),
 }
 
 /// A request that meets its fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Met {
+pub struct InjectedFault {
     pub epoch: Rev,
     pub fault: Fault,
 }
@@ -118,7 +118,7 @@
 
     /// The agreed drills, and what part of others' requests has failed here so far, in thousandths. Tells which held
     /// requests go on, and what those meet that were granted a fault.
-    pub fn learn(&mut self, now: Micros, agreed: &Agreed, failed: u32) -> Vec<(u64, Option<Met>)> {
+    pub fn learn(&mut self, now: Micros, agreed: &Agreed, failed: u32) -> Vec<(u64, Option<InjectedFault>)> {
         let running: BTreeSet<Rev> = agreed.running().map(|h| h.epoch).collect();
         let mut free = Vec::new();
         for held in agreed.0.values() {
@@ -203,11 +203,17 @@
     }
 
     /// Notes that a request meets its fault. `attempt`: as it was not told when it was asked for.
-    fn meet(&mut self, id: u64, epoch: Rev, grant: Option<u64>, attempt: Option<String>) -> Option<Met> {
+    fn meet(
+        &mut self,
+        id: u64,
+        epoch: Rev,
+        grant: Option<u64>,
+        attempt: Option<String>,
+    ) -> Option<InjectedFault> {
         let (rule, account) = (self.rules.get(&epoch)?, self.accounts.get_mut(&epoch)?);
         self.met.insert(id);
         account.say(Said::Met { attempt: attempt.unwrap_or_default(), grant });
-        Some(Met { epoch, fault: rule.drill.fault.clone() })
+        Some(InjectedFault { epoch, fault: rule.drill.fault.clone() })
     }
 
     /// A held request goes on, or has gone: its grant, should it come, is another's.
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -4,7 +4,7 @@
 //! What a status says is kept apart from how it came about: 429 and 503 promise that a request has not run and will not,
 //! so they go out only where that is known or where the request may run more than once anyway.
 
-use crate::drill::{DrillDecision, DrilledRequest, Drills, Met};
+use crate::drill::{DrillDecision, DrilledRequest, Drills, InjectedFault};
 use crate::reservations::{ReservationStatus, Reservations};
 use crate::rollout::{Ended, Placed, Rollouts, Side};
 use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
@@ -100,7 +100,7 @@
     Rehearsed {
         id: u64,
         name: Arc<[u8]>,
-        met: Met,
+        met: InjectedFault,
     },
     /// A server that is new, or that may or may not get more from now on.
     Server {
@@ -632,7 +632,7 @@
     }
 
     /// A request that waited for a grant goes on.
-    fn go_on(&mut self, id: u64, met: Option<Met>, out: &mut Vec<Output>) {
+    fn go_on(&mut self, id: u64, met: Option<InjectedFault>, out: &mut Vec<Output>) {
         let Some((mut ask, since, _)) = self.held.remove(&id) else { return };
         ask.left_us = ask.left_us.map(|left| left.saturating_sub(self.now - since));
         match met {
@@ -641,7 +641,7 @@
         }
     }
 
-    fn strike(&mut self, ask: Ask, met: Met, out: &mut Vec<Output>) {
+    fn strike(&mut self, ask: Ask, met: InjectedFault, out: &mut Vec<Output>) {
         let (id, fault) = (ask.id, met.fault.clone());
         out.push(Output::Rehearsed { id, name: ask.name.clone(), met });
         match fault {
