--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -112,7 +112,7 @@
     }
 
     /// Nothing is rehearsed and nothing is to be told.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.rules.is_empty() && self.accounts.is_empty()
     }
 
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -308,7 +308,7 @@
         }
         self.settle(out);
         self.due(out);
-        if !self.drills.idle() {
+        if !self.drills.is_idle() {
             for output in &out[before..] {
                 if let Output::Answer(id, Answer { status, .. })
                 | Output::Cut(id, Answer { status, .. })
@@ -324,7 +324,7 @@
 
     fn asked(&mut self, ask: Ask, out: &mut Vec<Output>) {
         self.counts.asked += 1;
-        let verdict = if self.drills.idle() { DrillDecision::Pass } else { self.rehearses(&ask) };
+        let verdict = if self.drills.is_idle() { DrillDecision::Pass } else { self.rehearses(&ask) };
         match verdict {
             DrillDecision::Pass => self.take(ask, None, out),
             DrillDecision::Hold(until) => _ = self.held.insert(ask.id, (ask, self.now, until)),
@@ -665,7 +665,7 @@
 
     /// What is to go up the tree of drills, if anything.
     pub fn drill_rows(&mut self, now: Micros) -> Vec<Rows> {
-        if self.drills.idle() { Vec::new() } else { self.drills.tells(now) }
+        if self.drills.is_idle() { Vec::new() } else { self.drills.tells(now) }
     }
 
     /// What is to go up the tree of rollouts, if anything.
@@ -682,7 +682,7 @@
 
     fn learn_drills(&mut self, out: &mut Vec<Output>) {
         let agreed = &self.copy.state.drills;
-        if agreed.0.is_empty() && self.drills.idle() {
+        if agreed.0.is_empty() && self.drills.is_idle() {
             return;
         }
         let c = &self.counts;
