--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -118,7 +118,12 @@
 
     /// The agreed drills, and what part of others' requests has failed here so far, in thousandths. Tells which held
     /// requests go on, and what those meet that were granted a fault.
-    pub fn learn(&mut self, now: Micros, agreed: &Agreed, failed: u32) -> Vec<(u64, Option<InjectedFault>)> {
+    pub fn apply_state(
+        &mut self,
+        now: Micros,
+        agreed: &Agreed,
+        failed: u32,
+    ) -> Vec<(u64, Option<InjectedFault>)> {
         let running: BTreeSet<Rev> = agreed.running().map(|h| h.epoch).collect();
         let mut free = Vec::new();
         for held in agreed.0.values() {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -687,7 +687,7 @@
         }
         let c = &self.counts;
         let failed = ((c.refused + c.failed) * 1000 / c.asked.max(1)) as u32;
-        for (id, met) in self.drills.learn(self.now, agreed, failed) {
+        for (id, met) in self.drills.apply_state(self.now, agreed, failed) {
             self.go_on(id, met, out);
         }
     }
