--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -169,7 +169,7 @@
     }
 
     /// The drills that still run, and how long they have. A word that comes late may only shorten that.
-    pub fn lease(&mut self, now: Micros, leases: &[Lease]) {
+    pub fn renew_leases(&mut self, now: Micros, leases: &[Lease]) {
         for lease in leases {
             let ends = now + Micros::from(lease.left_ms) * 1000;
             let known = self.leases.entry(lease.epoch).or_insert((ends, 0));
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -304,7 +304,7 @@
             Input::Ended { id, attempt, end } => self.ended(id, attempt, end, out),
             Input::News(news) => self.news(news, out),
             Input::Meter(readings, made_at) => self.meter(&readings, made_at, out),
-            Input::Leases(leases, made_at) => self.drills.lease(made_at, &leases),
+            Input::Leases(leases, made_at) => self.drills.renew_leases(made_at, &leases),
         }
         self.settle(out);
         self.due(out);
