--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    pub fn meets(&mut self, now: Micros, m: &DrilledRequest) -> DrillDecision {
+    pub fn decide(&mut self, now: Micros, m: &DrilledRequest) -> DrillDecision {
         let found = self.rules.iter_mut().find(|(_, rule)| rule.acts(now) && rule.matches(m));
         let Some((epoch, rule)) = found else { return DrillDecision::Pass };
         let epoch = *epoch;
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -628,7 +628,7 @@
             attempt: &ask.name,
             left_us: ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000),
         };
-        self.drills.meets(self.now, &meeting)
+        self.drills.decide(self.now, &meeting)
     }
 
     /// A request that waited for a grant goes on.
