--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -222,7 +222,7 @@
     }
 
     /// A held request goes on, or has gone: its grant, should it come, is another's.
-    pub fn late(&mut self, id: u64) {
+    pub fn stop_waiting(&mut self, id: u64) {
         for waits in self.rules.values_mut().flat_map(|r| r.asked.values_mut()) {
             waits.take_if(|w| *w == id);
         }
@@ -234,7 +234,7 @@
     }
 
     pub fn gone(&mut self, id: u64) {
-        self.late(id);
+        self.stop_waiting(id);
         self.callers.remove(&id);
         self.met.remove(&id);
     }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -605,7 +605,7 @@
         }
         let waited = self.held.iter().filter(|(_, (_, _, until))| *until <= self.now);
         for id in waited.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.drills.late(id);
+            self.drills.stop_waiting(id);
             self.go_on(id, None, out);
         }
         if self.look_at <= self.now {
