--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -229,7 +229,7 @@
     }
 
     /// It was answered as it would have been without the drill.
-    pub fn real(&mut self, id: u64) {
+    pub fn mark_uninjected(&mut self, id: u64) {
         self.met.remove(&id);
     }
 
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -555,7 +555,7 @@
         if !open.closed {
             open.closed = true;
             if open.rehearsed.take().is_some_and(|f| f.ran() == Ran::AsServed) {
-                self.drills.real(id);
+                self.drills.mark_uninjected(id);
             }
             out.push(Output::Answer(id, answer));
         }
