--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -233,7 +233,7 @@
         self.met.remove(&id);
     }
 
-    pub fn gone(&mut self, id: u64) {
+    pub fn forget(&mut self, id: u64) {
         self.stop_waiting(id);
         self.callers.remove(&id);
         self.met.remove(&id);
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -650,7 +650,7 @@
                 out.push(Output::Answer(id, Answer::later(503, "no server is known", RETRY_US)))
             }
             Fault::Closed => {
-                self.drills.gone(id);
+                self.drills.forget(id);
                 out.push(Output::Close(id));
             }
             fault => self.take(ask, Some(fault), out),
@@ -660,7 +660,7 @@
     fn leave_drills(&mut self, id: u64) {
         self.held.remove(&id);
         self.late.retain(|(_, of), _| *of != id);
-        self.drills.gone(id);
+        self.drills.forget(id);
     }
 
     /// What is to go up the tree of drills, if anything.
