--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -240,7 +240,7 @@
     }
 
     /// A request was answered. Others' failures, and the caller's real ones, may end a drill.
-    pub fn answered(&mut self, now: Micros, id: u64, status: u16) {
+    pub fn record_answer(&mut self, now: Micros, id: u64, status: u16) {
         let failed = matches!(status, 408 | 429) || status >= 500;
         let of = self.callers.remove(&id);
         let real = !self.met.remove(&id);
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -314,7 +314,7 @@
                 | Output::Cut(id, Answer { status, .. })
                 | Output::Slow(id, Answer { status, .. }, _) = output
                 {
-                    self.drills.answered(self.now, *id, *status);
+                    self.drills.record_answer(self.now, *id, *status);
                 }
             }
         }
