--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -270,7 +270,7 @@
     }
 
     /// What is to be told now.
-    pub fn tells(&mut self, now: Micros) -> Vec<Rows> {
+    pub fn due_reports(&mut self, now: Micros) -> Vec<Rows> {
         let mut rows = Vec::new();
         for (epoch, account) in &mut self.accounts {
             let due = account.urgent || now >= account.told_at + AGAIN_US;
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -665,7 +665,7 @@
 
     /// What is to go up the tree of drills, if anything.
     pub fn drill_rows(&mut self, now: Micros) -> Vec<Rows> {
-        if self.drills.is_idle() { Vec::new() } else { self.drills.tells(now) }
+        if self.drills.is_idle() { Vec::new() } else { self.drills.due_reports(now) }
     }
 
     /// What is to go up the tree of rollouts, if anything.
