--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -6,7 +6,7 @@
 
 use crate::drill::{DrillDecision, DrilledRequest, Drills, InjectedFault};
 use crate::reservations::{ReservationStatus, Reservations};
-use crate::rollout::{Ended, Placed, Rollouts, Side};
+use crate::rollout::{Ended, RolloutServer, Rollouts, Side};
 use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
@@ -153,7 +153,7 @@
     sent_at: Micros,
     out: bool,
     /// Where its server was placed, if a rollout of its service ran.
-    placed: Option<Placed>,
+    placed: Option<RolloutServer>,
 }
 
 struct Open {
@@ -216,7 +216,7 @@
     back: VecDeque<(u64, u32, Outcome)>,
     rollouts: Rollouts,
     /// Servers of services with a running rollout.
-    placed: BTreeMap<u64, Placed>,
+    placed: BTreeMap<u64, RolloutServer>,
     drills: Drills,
     /// Requests that wait for a grant: since when, and until when.
     held: BTreeMap<u64, (Ask, Micros, Micros)>,
@@ -673,7 +673,7 @@
         // By how servers are placed now: what was sent before the order counts too.
         let (open, placed) = (&self.open, &self.placed);
         let old_out = |epoch| {
-            let of = |p: &Placed| p.epoch == epoch && p.side == Side::Old;
+            let of = |p: &RolloutServer| p.epoch == epoch && p.side == Side::Old;
             let old = |t: &&Try| t.out && placed.get(&t.server).is_some_and(of);
             open.values().flat_map(|o| &o.tries).filter(old).count() as u32
         };
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -36,7 +36,7 @@
 
 /// A server of a service with a running rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Placed {
+pub struct RolloutServer {
     pub epoch: Rev,
     pub side: Side,
     /// It is on trial: only requests that the share allows may go there.
@@ -202,7 +202,7 @@
     }
 
     /// An attempt at a server of either side ended.
-    pub fn ended(&mut self, placed: Placed, route: u32, ended: Ended) {
+    pub fn ended(&mut self, placed: RolloutServer, route: u32, ended: Ended) {
         let Some(running) = self.running.get_mut(&placed.epoch) else { return };
         let none = || RouteTally { route, old: Answers::default(), new: Answers::default() };
         let tally = running.routes.entry(route).or_insert_with(none);
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -3,7 +3,7 @@
 //! way when a new configuration comes keeps its meaning.
 
 use crate::reservations::BookingTimes;
-use crate::rollout::{Exposure, Placed, Side};
+use crate::rollout::{Exposure, RolloutServer, Side};
 use cluster::Rev;
 use cluster::rollout::{Role, Rollout, Stage};
 use cluster::state::{Node, Server, State};
@@ -183,7 +183,7 @@
     /// With whether each may get more.
     pub peers: BTreeMap<u64, (Peer, bool)>,
     /// The servers of services with a running rollout.
-    pub placed: BTreeMap<u64, Placed>,
+    pub placed: BTreeMap<u64, RolloutServer>,
     pub changes_at: Option<Micros>,
 }
 
@@ -420,7 +420,7 @@
             list.peers.insert(number, (k.peer.clone(), up));
             if let Some(rollout) = state.rollouts.running_of(&s.service) {
                 let side = if is_new(rollout, s, state) { Side::New } else { Side::Old };
-                let placed = Placed { epoch: rollout.epoch, side, trial, cold_until };
+                let placed = RolloutServer { epoch: rollout.epoch, side, trial, cold_until };
                 list.placed.insert(number, placed);
             }
         }
