--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -6,7 +6,7 @@
 
 use crate::drill::{DrillDecision, DrilledRequest, Drills, InjectedFault};
 use crate::reservations::{ReservationStatus, Reservations};
-use crate::rollout::{Ended, RolloutServer, Rollouts, Side};
+use crate::rollout::{AttemptEnd, RolloutServer, Rollouts, Side};
 use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
@@ -568,7 +568,7 @@
         let late = (outcome == Outcome::TimedOut).then_some(one.sent_at);
         open.timed_out |= late.is_some();
         if let (Some(placed), Some(_), None) = (one.placed, late, &open.rehearsed) {
-            self.rollouts.ended(placed, open.route, Ended::Failed);
+            self.rollouts.ended(placed, open.route, AttemptEnd::Failed);
         }
         out.push(Output::GiveUp { id, attempt, server: one.server, late });
         self.back.push_back((id, attempt, outcome));
@@ -938,14 +938,14 @@
 }
 
 /// What the end of an attempt says of the version of its server, if anything.
-fn tells_of_version(end: &End, taken_us: Micros, cold: bool) -> Option<Ended> {
+fn tells_of_version(end: &End, taken_us: Micros, cold: bool) -> Option<AttemptEnd> {
     match end {
         End::Broken { reached: Reached::NeverRan } => None,
-        End::Broken { reached: Reached::MayHaveRun } => Some(Ended::Failed),
+        End::Broken { reached: Reached::MayHaveRun } => Some(AttemptEnd::Failed),
         End::Answered(served) => match judge(served) {
-            Outcome::Ok => Some(Ended::Served { taken_us, cold }),
+            Outcome::Ok => Some(AttemptEnd::Served { taken_us, cold }),
             Outcome::Full | Outcome::ConnectFailed => None,
-            _ => Some(Ended::Failed),
+            _ => Some(AttemptEnd::Failed),
         },
     }
 }
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -46,7 +46,7 @@
 
 /// How an attempt ended, as far as it tells of the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     Served { taken_us: Micros, cold: bool },
     Failed,
 }
@@ -202,7 +202,7 @@
     }
 
     /// An attempt at a server of either side ended.
-    pub fn ended(&mut self, placed: RolloutServer, route: u32, ended: Ended) {
+    pub fn ended(&mut self, placed: RolloutServer, route: u32, ended: AttemptEnd) {
         let Some(running) = self.running.get_mut(&placed.epoch) else { return };
         let none = || RouteTally { route, old: Answers::default(), new: Answers::default() };
         let tally = running.routes.entry(route).or_insert_with(none);
@@ -212,9 +212,9 @@
         };
         answers.ended += 1;
         match ended {
-            Ended::Failed => answers.failed += 1,
-            Ended::Served { taken_us, cold: false } => answers.took(taken_us),
-            Ended::Served { cold: true, .. } => {}
+            AttemptEnd::Failed => answers.failed += 1,
+            AttemptEnd::Served { taken_us, cold: false } => answers.took(taken_us),
+            AttemptEnd::Served { cold: true, .. } => {}
         }
     }
 
