--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -102,7 +102,7 @@
         settle_us: b.config_apply_ms.map_or(usual.settle_us, ms),
         hold_us: b.contact_ms.map_or(usual.hold_us, ms),
     };
-    let exposure = Exposure::of(b.exposure_share, b.exposure_margin);
+    let exposure = Exposure::from_settings(b.exposure_share, b.exposure_margin);
     let place = ProxySettings { ip: s.ip, zone, region, zones, leeway, booking_times: times, exposure };
     let node = Node {
         ip: s.ip,
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -105,7 +105,7 @@
 
 impl Exposure {
     /// Less than the settings allow, as what arrives is not quite what was sent.
-    pub fn of(exposure_share: Option<f64>, exposure_margin: Option<f64>) -> Exposure {
+    pub fn from_settings(exposure_share: Option<f64>, exposure_margin: Option<f64>) -> Exposure {
         Exposure {
             share: EXPOSURE_USED * exposure_share.unwrap_or(DEFAULT_EXPOSURE).clamp(0.0, 1.0),
             margin: MARGIN_USED * exposure_margin.unwrap_or(0.0).max(0.0),
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -88,7 +88,7 @@
         zones,
         leeway: Leeway { retry_ratio: 0.2, retry_slack: 50.0, ..Leeway::default() },
         booking_times: BookingTimes::default(),
-        exposure: proxy::rollout::Exposure::of(None, None),
+        exposure: proxy::rollout::Exposure::from_settings(None, None),
     }
 }
 
--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -145,7 +145,7 @@
 /// Guards against a margin that is given out anew to each life of a proxy, so that restarts in series add up.
 #[test]
 fn a_part_of_the_margin_goes_to_proxies_that_ran_before_the_rollout_alone() {
-    let exposure = Exposure::of(Some(0.1), Some(50.0));
+    let exposure = Exposure::from_settings(Some(0.1), Some(50.0));
     for (ran_us, reserved) in [(20 * SECOND, 11), (SECOND, 0)] {
         let ip = node(1, "north-a").ip;
         let mut rollouts = Rollouts::new(ip, 7, exposure, SECOND, 0);
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -253,7 +253,7 @@
                         zones: zones.clone(),
                         leeway,
                         booking_times: BookingTimes { settle_us: b.config_apply, hold_us: b.contact },
-                        exposure: proxy::rollout::Exposure::of(
+                        exposure: proxy::rollout::Exposure::from_settings(
                             Some(b.exposure_share),
                             Some(b.exposure_margin),
                         ),
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -205,7 +205,7 @@
     let me = node(0);
     let leeway = Leeway { excess: 0.1, margin: 20.0, period_s: 5.0, retry_ratio: 0.2, retry_slack: 60.0 };
     let zones = ZONES.iter().map(|z| (z.0.into(), z.1.into())).collect();
-    let exposure = proxy::rollout::Exposure::of(None, None);
+    let exposure = proxy::rollout::Exposure::from_settings(None, None);
     let (zone, region) = (me.zone, me.region);
     let place = ProxySettings {
         ip: me.ip,
