--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -749,7 +749,8 @@
             self.settle_in();
         }
         let book = &self.book;
-        self.rollouts.learn(self.now, &self.copy.state.rollouts, among.0, |service| book.service(service));
+        self.rollouts
+            .apply_state(self.now, &self.copy.state.rollouts, among.0, |service| book.service(service));
         let soon = self.listed_at + GATHER_US;
         if adds_servers_alone && !self.rollouts.is_idle() && self.now < soon {
             self.relist_at = Some(self.relist_at.map_or(soon, |at| at.min(soon)));
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -139,7 +139,7 @@
     }
 
     /// Takes over what is agreed among so many proxies; `number` gives the number of a service.
-    pub fn learn(
+    pub fn apply_state(
         &mut self,
         now: Micros,
         agreed: &Agreed,
--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -150,7 +150,7 @@
         let ip = node(1, "north-a").ip;
         let mut rollouts = Rollouts::new(ip, 7, exposure, SECOND, 0);
         let proxy = rolling();
-        rollouts.learn(ran_us, &proxy.front.copy.state.rollouts, 2, |_| Some(0));
+        rollouts.apply_state(ran_us, &proxy.front.copy.state.rollouts, 2, |_| Some(0));
         let granted = (0..100).filter(|_| rollouts.reserve(0, 7)).count();
         assert_eq!(granted, reserved, "of 25 for two proxies, one of them left for other routes");
     }
