--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -533,7 +533,7 @@
             if open.booking > 0 {
                 self.booked.passes(open.booking as usize);
             }
-            self.rollouts.sent(open.service, open.route);
+            self.rollouts.record_first_try(open.service, open.route);
         }
         let placed = self.placed.get(&server).copied();
         if std::mem::take(&mut open.reserved) && !placed.is_some_and(|p| p.trial) {
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -193,7 +193,7 @@
     }
 
     /// A request went to the service for the first time, to whichever server.
-    pub fn sent(&mut self, service: u32, route: u32) {
+    pub fn record_first_try(&mut self, service: u32, route: u32) {
         let share = self.exposure.share;
         if let Some(running) = self.on_trial(service) {
             *running.sent.entry(route).or_default() += 1;
