--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -425,7 +425,7 @@
         if let (Some(placed), None) = (one.placed, &open.rehearsed)
             && let Some(ended) = tells_of_version(&end, taken_us, placed.cold_until > one.sent_at)
         {
-            self.rollouts.ended(placed, open.route, ended);
+            self.rollouts.record_end(placed, open.route, ended);
         }
         let outcome = match end {
             End::Broken { reached: Reached::NeverRan } => Outcome::ConnectFailed,
@@ -568,7 +568,7 @@
         let late = (outcome == Outcome::TimedOut).then_some(one.sent_at);
         open.timed_out |= late.is_some();
         if let (Some(placed), Some(_), None) = (one.placed, late, &open.rehearsed) {
-            self.rollouts.ended(placed, open.route, AttemptEnd::Failed);
+            self.rollouts.record_end(placed, open.route, AttemptEnd::Failed);
         }
         out.push(Output::GiveUp { id, attempt, server: one.server, late });
         self.back.push_back((id, attempt, outcome));
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -202,7 +202,7 @@
     }
 
     /// An attempt at a server of either side ended.
-    pub fn ended(&mut self, placed: RolloutServer, route: u32, ended: AttemptEnd) {
+    pub fn record_end(&mut self, placed: RolloutServer, route: u32, ended: AttemptEnd) {
         let Some(running) = self.running.get_mut(&placed.epoch) else { return };
         let none = || RouteTally { route, old: Answers::default(), new: Answers::default() };
         let tally = running.routes.entry(route).or_insert_with(none);
