--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -356,7 +356,7 @@
         };
         let left_us = ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000);
         let plan = tenant.map_or(0, |t| self.book.plan(&t.name));
-        self.tenants.asked(plan);
+        self.tenants.record_request(plan);
         let nodes = self.copy.state.nodes.len();
         if !self.tenants.may_send(self.now, plan, self.book.even_share(plan, nodes), nodes) {
             self.counts.refused += 1;
@@ -364,7 +364,7 @@
         }
         let booking = self.come_under(tenant, route, service);
         if booking > 0 {
-            self.booked.asked(booking as usize);
+            self.booked.record_request(booking as usize);
         }
         let route_key = tenant_key(&route.name);
         let reserved = rehearsed.is_none() && self.rollouts.reserve(service, route_key);
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -93,7 +93,7 @@
         &mut self.all[plan]
     }
 
-    pub fn asked(&mut self, plan: usize) {
+    pub fn record_request(&mut self, plan: usize) {
         let every_s = self.every_us as f64 / 1e6;
         let t = self.of(plan);
         t.asked += 1;
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -31,7 +31,7 @@
     fn proxy(&self, last: u8, asked: u32) -> (Tenants, Usage) {
         let mut tenants = Tenants::new(EVERY, 7);
         tenants.uses(SECOND, |plan| self.book.report_key(plan));
-        (0..asked).for_each(|_| tenants.asked(self.plan));
+        (0..asked).for_each(|_| tenants.record_request(self.plan));
         let told = tenants.uses(SECOND + EVERY, |plan| self.book.report_key(plan));
         (tenants, Usage { ip: node(last, "north-a").ip, life: 1, count: 1, tenants: told })
     }
@@ -116,7 +116,7 @@
     let site = site(10);
     let mut tenants = Tenants::new(EVERY, 7);
     let mut wanted = |asked: u32, at: u64| {
-        (0..asked).for_each(|_| tenants.asked(site.plan));
+        (0..asked).for_each(|_| tenants.record_request(site.plan));
         let hurries = std::mem::take(&mut tenants.hurries);
         (
             hurries,
@@ -235,7 +235,7 @@
         let now = SECOND + step * EVERY / 4;
         for tenants in &mut proxies {
             if step % 4 == 0 {
-                tenants.asked(site.plan);
+                tenants.record_request(site.plan);
                 tenants.read(now, now, site.plan, &reading(true), 87, quota);
             }
             if tenants.may_send(now, site.plan, even, 87) {
@@ -260,7 +260,7 @@
         let mut tenants = Tenants::new(EVERY, 1);
         let now = 100 * EVERY;
         tenants.uses(now - EVERY, |_| 0);
-        (0..20).for_each(|_| tenants.asked(1));
+        (0..20).for_each(|_| tenants.record_request(1));
         tenants.uses(now, |_| 0);
         tenants.read(now, now - made_ago, 1, &all_here, 10, quota);
         assert_eq!(tenants.spread(now, 1, 10), spread, "made {made_ago} us ago");
