--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -531,7 +531,7 @@
                 self.spent.push(plan);
             }
             if open.booking > 0 {
-                self.booked.passes(open.booking as usize);
+                self.booked.record_sent(open.booking as usize);
             }
             self.rollouts.record_first_try(open.service, open.route);
         }
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -102,7 +102,7 @@
     }
 
     /// One is sent on of what no quota binds.
-    pub fn passes(&mut self, number: usize) {
+    pub fn record_sent(&mut self, number: usize) {
         self.of(number).sent += 1;
     }
 
@@ -111,7 +111,7 @@
         let granted = (1.0 / f64::from(self.spread(now, plan, nodes)) - 1.0 / nodes.max(1) as f64).max(0.0);
         let granted = granted * even.rate * nodes as f64 * GRANTED * self.every_us as f64 / 1e6;
         let (ahead, flooded) = (even.ahead + granted, self.is_flooded(now, plan));
-        self.passes(plan);
+        self.record_sent(plan);
         let t = self.of(plan);
         if plan == 0 || even.rate <= 0.0 {
             return false;
