--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -527,7 +527,7 @@
         let until = self.now.saturating_add(timeout_us).min(open.until);
         if attempt == 0 {
             let (plan, nodes) = (open.plan, self.copy.state.nodes.len());
-            if self.tenants.sent(self.now, plan, self.book.even_share(plan, nodes), nodes) {
+            if self.tenants.spend(self.now, plan, self.book.even_share(plan, nodes), nodes) {
                 self.spent.push(plan);
             }
             if open.booking > 0 {
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -107,7 +107,7 @@
     }
 
     /// True if that was the last that may be sent here ahead of the even share.
-    pub fn sent(&mut self, now: Micros, plan: usize, even: EvenShare, nodes: usize) -> bool {
+    pub fn spend(&mut self, now: Micros, plan: usize, even: EvenShare, nodes: usize) -> bool {
         let granted = (1.0 / f64::from(self.spread(now, plan, nodes)) - 1.0 / nodes.max(1) as f64).max(0.0);
         let granted = granted * even.rate * nodes as f64 * GRANTED * self.every_us as f64 / 1e6;
         let (ahead, flooded) = (even.ahead + granted, self.is_flooded(now, plan));
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -170,7 +170,7 @@
     let share = site.share(&mut tenants, Some(&reading));
     // As much as it likes, until it is told that this was all.
     let now = SECOND + EVERY;
-    let until = |tenants: &mut Tenants, now| (1..100).find(|_| tenants.sent(now, site.plan, even, 10));
+    let until = |tenants: &mut Tenants, now| (1..100).find(|_| tenants.spend(now, site.plan, even, 10));
     let granted = (share - 0.1) * 60.0 * EVERY as f64 / 1e6;
     let first = until(&mut tenants, now).expect("bounded");
     assert!((first as f64) < 2.0 + 3.0 + granted + 1.0, "{first} beside {granted}");
@@ -198,7 +198,7 @@
         let mut tenants = Tenants::new(EVERY, seed);
         let mut now = SECOND;
         tenants.read(now, now, site.plan, &reading(false), 10, quota);
-        let before = (0..15).filter(|_| !tenants.sent(now, site.plan, even, 10)).count();
+        let before = (0..15).filter(|_| !tenants.spend(now, site.plan, even, 10)).count();
         assert!(before >= 13, "ahead while nobody has told of a flood");
         // Told, so that a reading which forgives would forgive all of it.
         tenants.uses(now, |plan| site.book.report_key(plan));
@@ -212,7 +212,7 @@
                 if now < SECOND + EVERY || !tenants.may_send(now, site.plan, even, 10) {
                     break;
                 }
-                tenants.sent(now, site.plan, even, 10);
+                tenants.spend(now, site.plan, even, 10);
                 sent += 1.0;
             }
         }
@@ -239,7 +239,7 @@
                 tenants.read(now, now, site.plan, &reading(true), 87, quota);
             }
             if tenants.may_send(now, site.plan, even, 87) {
-                tenants.sent(now, site.plan, even, 87);
+                tenants.spend(now, site.plan, even, 87);
                 sent += 1;
             }
         }
@@ -276,7 +276,7 @@
     let mut tenants = Tenants::new(EVERY, 1);
     let now = 10 * EVERY;
     tenants.read(now, now, 1, &flood, 100, quota);
-    tenants.sent(now, 1, even, 100);
+    tenants.spend(now, 1, even, 100);
     tenants.read(now + EVERY, now + EVERY, 1, &over, 100, quota);
     assert!(!tenants.may_send(now + EVERY, 1, even, 100), "readings waver");
     let later = now + 20 * EVERY;
