--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -696,9 +696,9 @@
 
     /// What is done here for tenants, for the next report.
     pub fn uses(&mut self, now: Micros) -> Vec<Use> {
-        let mut uses = self.tenants.uses(now, |plan| self.book.report_key(plan));
+        let mut uses = self.tenants.take_report(now, |plan| self.book.report_key(plan));
         if !self.cramp.is_empty() {
-            uses.extend(self.booked.uses(now, |number| self.cramp.report_key(number)));
+            uses.extend(self.booked.take_report(now, |number| self.cramp.report_key(number)));
         }
         uses
     }
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -141,7 +141,7 @@
     }
 
     /// What the next report tells, each under its `key`; counts from there on anew.
-    pub fn uses(&mut self, now: Micros, key: impl Fn(usize) -> u32) -> Vec<Use> {
+    pub fn take_report(&mut self, now: Micros, key: impl Fn(usize) -> u32) -> Vec<Use> {
         let passed = (now.saturating_sub(self.told_at)).max(1) as f64;
         self.told_at = now;
         let (seconds, learn) = (passed / 1e6, (LEARN * passed / self.every_us as f64).min(1.0));
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -30,9 +30,9 @@
     /// A proxy that is asked so often between two reports, and its report.
     fn proxy(&self, last: u8, asked: u32) -> (Tenants, Usage) {
         let mut tenants = Tenants::new(EVERY, 7);
-        tenants.uses(SECOND, |plan| self.book.report_key(plan));
+        tenants.take_report(SECOND, |plan| self.book.report_key(plan));
         (0..asked).for_each(|_| tenants.record_request(self.plan));
-        let told = tenants.uses(SECOND + EVERY, |plan| self.book.report_key(plan));
+        let told = tenants.take_report(SECOND + EVERY, |plan| self.book.report_key(plan));
         (tenants, Usage { ip: node(last, "north-a").ip, life: 1, count: 1, tenants: told })
     }
 
@@ -121,7 +121,7 @@
         (
             hurries,
             tenants
-                .uses(SECOND + at * EVERY, |plan| site.book.report_key(plan))
+                .take_report(SECOND + at * EVERY, |plan| site.book.report_key(plan))
                 .first()
                 .map_or(0, |u| u.wanted),
         )
@@ -177,7 +177,7 @@
     assert_eq!(tenants.spread(now, site.plan, 10), 10, "the even share is left");
     // Paid back by the even share alone: six a second.
     assert!(until(&mut tenants, now + SECOND / 2).is_some_and(|n| n <= 4));
-    tenants.uses(now + SECOND / 2, |n| site.book.report_key(n));
+    tenants.take_report(now + SECOND / 2, |n| site.book.report_key(n));
     site.share(&mut tenants, Some(&reading));
     assert!(until(&mut tenants, now + SECOND / 2).is_some_and(|n| n > 1), "told, read and forgiven");
 }
@@ -201,7 +201,7 @@
         let before = (0..15).filter(|_| !tenants.spend(now, site.plan, even, 10)).count();
         assert!(before >= 13, "ahead while nobody has told of a flood");
         // Told, so that a reading which forgives would forgive all of it.
-        tenants.uses(now, |plan| site.book.report_key(plan));
+        tenants.take_report(now, |plan| site.book.report_key(plan));
         let mut sent = 15.0;
         for _ in 0..3 * 15 {
             now += EVERY / 3;
@@ -259,9 +259,9 @@
     for (made_ago, spread) in [(0, 1), (10 * EVERY, 10)] {
         let mut tenants = Tenants::new(EVERY, 1);
         let now = 100 * EVERY;
-        tenants.uses(now - EVERY, |_| 0);
+        tenants.take_report(now - EVERY, |_| 0);
         (0..20).for_each(|_| tenants.record_request(1));
-        tenants.uses(now, |_| 0);
+        tenants.take_report(now, |_| 0);
         tenants.read(now, now - made_ago, 1, &all_here, 10, quota);
         assert_eq!(tenants.spread(now, 1, 10), spread, "made {made_ago} us ago");
     }
