--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -714,7 +714,7 @@
             let key = self.book.report_key(plan);
             if let Some(reading) = readings.iter().find(|r| r.tenant == key) {
                 let quota = Quota { rate, burst: self.book.even_share(plan, nodes).burst };
-                let used = self.tenants.read(self.now, made_at, plan, reading, nodes, quota);
+                let used = self.tenants.apply_reading(self.now, made_at, plan, reading, nodes, quota);
                 self.decide(Event::Used { customer: plan as u64, used }, out);
             }
         }
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -160,7 +160,7 @@
 
     /// Takes a reading that was made then. Tells what part of the rate counts as used: in a flood what is wanted, as what is used says only
     /// how well it is held back.
-    pub fn read(
+    pub fn apply_reading(
         &mut self,
         now: Micros,
         made_at: Micros,
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -45,7 +45,14 @@
     fn share(&self, tenants: &mut Tenants, reading: Option<&Reading>) -> f64 {
         let (now, all) = (SECOND + EVERY, self.copy.state.nodes.len());
         if let Some(reading) = reading {
-            tenants.read(now, now, self.plan, reading, all, Quota { rate: f64::INFINITY, burst: 1.0 });
+            tenants.apply_reading(
+                now,
+                now,
+                self.plan,
+                reading,
+                all,
+                Quota { rate: f64::INFINITY, burst: 1.0 },
+            );
         }
         1.0 / f64::from(tenants.spread(now, self.plan, all))
     }
@@ -197,7 +204,7 @@
     for seed in 0..20 {
         let mut tenants = Tenants::new(EVERY, seed);
         let mut now = SECOND;
-        tenants.read(now, now, site.plan, &reading(false), 10, quota);
+        tenants.apply_reading(now, now, site.plan, &reading(false), 10, quota);
         let before = (0..15).filter(|_| !tenants.spend(now, site.plan, even, 10)).count();
         assert!(before >= 13, "ahead while nobody has told of a flood");
         // Told, so that a reading which forgives would forgive all of it.
@@ -206,7 +213,7 @@
         for _ in 0..3 * 15 {
             now += EVERY / 3;
             if (now - SECOND).is_multiple_of(EVERY) {
-                tenants.read(now, now, site.plan, &reading(true), 10, quota);
+                tenants.apply_reading(now, now, site.plan, &reading(true), 10, quota);
             }
             for _ in 0..100 {
                 if now < SECOND + EVERY || !tenants.may_send(now, site.plan, even, 10) {
@@ -236,7 +243,7 @@
         for tenants in &mut proxies {
             if step % 4 == 0 {
                 tenants.record_request(site.plan);
-                tenants.read(now, now, site.plan, &reading(true), 87, quota);
+                tenants.apply_reading(now, now, site.plan, &reading(true), 87, quota);
             }
             if tenants.may_send(now, site.plan, even, 87) {
                 tenants.spend(now, site.plan, even, 87);
@@ -262,7 +269,7 @@
         tenants.take_report(now - EVERY, |_| 0);
         (0..20).for_each(|_| tenants.record_request(1));
         tenants.take_report(now, |_| 0);
-        tenants.read(now, now - made_ago, 1, &all_here, 10, quota);
+        tenants.apply_reading(now, now - made_ago, 1, &all_here, 10, quota);
         assert_eq!(tenants.spread(now, 1, 10), spread, "made {made_ago} us ago");
     }
 }
@@ -275,11 +282,11 @@
     let over = Reading { tenant: 0, wanted: 3_000, used: 3_000, shares: 100_000 };
     let mut tenants = Tenants::new(EVERY, 1);
     let now = 10 * EVERY;
-    tenants.read(now, now, 1, &flood, 100, quota);
+    tenants.apply_reading(now, now, 1, &flood, 100, quota);
     tenants.spend(now, 1, even, 100);
-    tenants.read(now + EVERY, now + EVERY, 1, &over, 100, quota);
+    tenants.apply_reading(now + EVERY, now + EVERY, 1, &over, 100, quota);
     assert!(!tenants.may_send(now + EVERY, 1, even, 100), "readings waver");
     let later = now + 20 * EVERY;
-    tenants.read(later, later, 1, &over, 100, quota);
+    tenants.apply_reading(later, later, 1, &over, 100, quota);
     assert!(tenants.may_send(later, 1, even, 100), "the flood is over");
 }
