--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -391,7 +391,7 @@
             customer: plan as u64,
             left_us,
             spread: self.tenants.spread(self.now, plan, nodes),
-            units: self.tenants.draws(self.now, plan, nodes),
+            units: self.tenants.request_cost(self.now, plan, nodes),
             service,
             zones: zones | trials,
             zones_again: zones,
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -200,7 +200,7 @@
     /// What a request draws from the bucket here. In a flood all is spent that is granted, so the even shares of those
     /// that want less must not come on top of the others': they too are scaled, which the spread cannot tell, as it is
     /// no larger than the number of proxies.
-    pub fn draws(&self, now: Micros, plan: usize, nodes: usize) -> f64 {
+    pub fn request_cost(&self, now: Micros, plan: usize, nodes: usize) -> f64 {
         let flood = self.read_of(now, plan).filter(|t| t.flooded);
         flood.map_or(1.0, |t| (t.spread / nodes.max(1) as f64).max(1.0))
     }
