--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -705,7 +705,7 @@
 
     /// Others should hear soon of what is asked here.
     pub fn hurries(&mut self) -> bool {
-        std::mem::take(&mut self.tenants.hurries) | std::mem::take(&mut self.booked.hurries)
+        std::mem::take(&mut self.tenants.report_early) | std::mem::take(&mut self.booked.report_early)
     }
 
     fn meter(&mut self, readings: &[Reading], made_at: Micros, out: &mut Vec<Output>) {
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -76,14 +76,14 @@
     /// By the number of the plan.
     all: Vec<Tenant>,
     rng: fastrand::Rng,
-    pub hurries: bool,
+    pub report_early: bool,
 }
 
 impl Tenants {
     /// `every_us`: how often a report goes out. `seed`: of the chance by which proxies begin in turn.
     pub fn new(every_us: Micros, seed: u64) -> Tenants {
         let rng = fastrand::Rng::with_seed(seed);
-        Tenants { every_us, told_at: 0, all: Vec::new(), rng, hurries: false }
+        Tenants { every_us, told_at: 0, all: Vec::new(), rng, report_early: false }
     }
 
     fn of(&mut self, plan: usize) -> &mut Tenant {
@@ -98,7 +98,7 @@
         let t = self.of(plan);
         t.asked += 1;
         let jumps = f64::from(t.asked) > 2.0 * t.wanted * every_s + JUMP;
-        self.hurries |= plan > 0 && jumps;
+        self.report_early |= plan > 0 && jumps;
     }
 
     /// One is sent on of what no quota binds.
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -124,7 +124,7 @@
     let mut tenants = Tenants::new(EVERY, 7);
     let mut wanted = |asked: u32, at: u64| {
         (0..asked).for_each(|_| tenants.record_request(site.plan));
-        let hurries = std::mem::take(&mut tenants.hurries);
+        let hurries = std::mem::take(&mut tenants.report_early);
         (
             hurries,
             tenants
