--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -278,7 +278,7 @@
 }
 
 /// What is spoken with servers; how attempts end comes to the shell.
-type Servers = servers::Servers<Box<dyn Fn(u64, u32, End) + Send + Sync>>;
+type Servers = servers::ServerWire<Box<dyn Fn(u64, u32, End) + Send + Sync>>;
 
 fn tell(inbox: Inbox<Told>) -> Box<dyn Fn(u64, u32, End) + Send + Sync> {
     Box::new(move |id, attempt, end| inbox.post(Told::Ended(id, attempt, end)))
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -8,7 +8,7 @@
 use net::pool::{self, Ended, Heard, Job, Wire};
 use std::sync::Arc;
 
-pub struct Servers<T> {
+pub struct ServerWire<T> {
     tell: T,
 }
 
@@ -24,14 +24,14 @@
     headers: Vec<u8>,
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Servers<T> {
+impl<T: Fn(u64, u32, End) + Send + Sync + 'static> ServerWire<T> {
     /// How each attempt ends goes to `tell`.
-    pub fn new(tell: T) -> Servers<T> {
-        Servers { tell }
+    pub fn new(tell: T) -> ServerWire<T> {
+        ServerWire { tell }
     }
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for Servers<T> {
+impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for ServerWire<T> {
     type Note = Note;
     type Said = Said;
 
@@ -54,7 +54,7 @@
         Heard::Mine(Said { not_run, headers })
     }
 
-    fn ended(&self, ended: Ended<Servers<T>>) {
+    fn ended(&self, ended: Ended<ServerWire<T>>) {
         let end = match ended.outcome {
             Ok(pool::Served { status, said, body }) => {
                 End::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -15,7 +15,7 @@
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
-use proxy::servers::{Note, Said, Servers};
+use proxy::servers::{Note, Said, ServerWire};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
@@ -84,7 +84,7 @@
 /// The proxy's reading of answers; `blind`: as if all answers had the name that is awaited, so that what the connection
 /// does by itself must do, as it must where servers name nothing.
 struct Speaker {
-    servers: Servers<Tell>,
+    servers: ServerWire<Tell>,
     blind: bool,
 }
 
@@ -160,7 +160,7 @@
         let all = [("a", "north-a"), ("b", "north-a")];
         World {
             proxy: Proxy::with(&all[..size.servers]),
-            wire: Speaker { servers: Servers::new(tell), blind: size.blind },
+            wire: Speaker { servers: ServerWire::new(tell), blind: size.blind },
             ended,
             conns: Vec::new(),
             requests: BTreeMap::new(),
