--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -19,7 +19,7 @@
 }
 
 /// What is read out of an answer's head.
-pub struct Said {
+pub struct AnswerInfo {
     not_run: bool,
     headers: Vec<u8>,
 }
@@ -33,7 +33,7 @@
 
 impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for ServerWire<T> {
     type Note = Note;
-    type Said = Said;
+    type Said = AnswerInfo;
 
     fn last_lines(&self, job: &Job<Note>, left_us: Micros, out: &mut Vec<u8>) {
         let left_ms = (left_us / 1000).max(1);
@@ -42,7 +42,7 @@
         );
     }
 
-    fn heard(&self, job: &Job<Note>, head: &http::Response) -> Heard<Said> {
+    fn heard(&self, job: &Job<Note>, head: &http::Response) -> Heard<AnswerInfo> {
         // Every answer names its attempt; one that names none is nobody's.
         let name = http::header(head.headers, "X-Attempt-Id");
         if name.is_none_or(|n| n.trim_ascii() != &*job.note.name) {
@@ -51,7 +51,7 @@
         let mut headers = Vec::new();
         http::pass_on(head.headers, &["X-Not-Executed", "X-Instance-Id", "X-Cold-Time"], &mut headers);
         let not_run = http::header(head.headers, "X-Not-Executed").is_some();
-        Heard::Mine(Said { not_run, headers })
+        Heard::Mine(AnswerInfo { not_run, headers })
     }
 
     fn ended(&self, ended: Ended<ServerWire<T>>) {
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -15,7 +15,7 @@
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
-use proxy::servers::{Note, Said, ServerWire};
+use proxy::servers::{AnswerInfo, Note, ServerWire};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
@@ -90,13 +90,13 @@
 
 impl Wire for Speaker {
     type Note = Note;
-    type Said = Said;
+    type Said = AnswerInfo;
 
     fn last_lines(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
         self.servers.last_lines(job, left_us, out);
     }
 
-    fn heard(&self, job: &Carried, head: &Response) -> Heard<Said> {
+    fn heard(&self, job: &Carried, head: &Response) -> Heard<AnswerInfo> {
         let mut headers = head.headers.to_vec();
         if self.blind {
             headers.retain(|h| h.name != "X-Attempt-Id");
