--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -15,7 +15,7 @@
 use proxy::reservations::BookingTimes;
 use proxy::rollout::Exposure;
 use proxy::routing_view::{Leeway, ProxySettings};
-use proxy::servers::{self, Note};
+use proxy::servers::{self, AttemptInfo};
 use proxy::watch::Watch;
 use runtime::datagram::{self, Datagrams};
 use runtime::link::{self, Event, Line, SILENCE};
@@ -326,7 +326,7 @@
             match output {
                 front::Output::Send(job) => {
                     let front::Job { id, attempt, server, name, instance, passage, again, until } = job;
-                    let note = Note { name, instance };
+                    let note = AttemptInfo { name, instance };
                     let sent = self
                         .peers
                         .get(&server)
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -13,7 +13,7 @@
 }
 
 /// What goes with an attempt: the client's name for it and the life of a server that may run it.
-pub struct Note {
+pub struct AttemptInfo {
     pub name: Arc<[u8]>,
     pub instance: Arc<str>,
 }
@@ -32,17 +32,17 @@
 }
 
 impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for ServerWire<T> {
-    type Note = Note;
+    type Note = AttemptInfo;
     type Said = AnswerInfo;
 
-    fn last_lines(&self, job: &Job<Note>, left_us: Micros, out: &mut Vec<u8>) {
+    fn last_lines(&self, job: &Job<AttemptInfo>, left_us: Micros, out: &mut Vec<u8>) {
         let left_ms = (left_us / 1000).max(1);
         out.extend_from_slice(
             format!("X-Time-Left: {left_ms}\r\nX-Expected-Instance: {}\r\n", job.note.instance).as_bytes(),
         );
     }
 
-    fn heard(&self, job: &Job<Note>, head: &http::Response) -> Heard<AnswerInfo> {
+    fn heard(&self, job: &Job<AttemptInfo>, head: &http::Response) -> Heard<AnswerInfo> {
         // Every answer names its attempt; one that names none is nobody's.
         let name = http::header(head.headers, "X-Attempt-Id");
         if name.is_none_or(|n| n.trim_ascii() != &*job.note.name) {
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -15,14 +15,14 @@
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
-use proxy::servers::{AnswerInfo, Note, ServerWire};
+use proxy::servers::{AnswerInfo, AttemptInfo, ServerWire};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
 use tape::Tape;
 
 type Tell = Box<dyn Fn(u64, u32, End) + Send + Sync>;
-type Carried = pool::Job<Note>;
+type Carried = pool::Job<AttemptInfo>;
 
 const BOUNDS: Bounds = Bounds { head: 4096, body: 4096 };
 const ANSWER_US: Micros = 300_000;
@@ -89,7 +89,7 @@
 }
 
 impl Wire for Speaker {
-    type Note = Note;
+    type Note = AttemptInfo;
     type Said = AnswerInfo;
 
     fn last_lines(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
@@ -197,7 +197,8 @@
             match output {
                 Output::Send(Job { id, attempt, server, name, instance, passage, again, until }) => {
                     let again = again && self.plant != Some(Plant::SameConnectionAgain);
-                    let job = Carried { id, attempt, passage, again, until, note: Note { name, instance } };
+                    let job =
+                        Carried { id, attempt, passage, again, until, note: AttemptInfo { name, instance } };
                     self.send(server, job);
                 }
                 Output::GiveUp { id, attempt, .. } => {
