--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -859,7 +859,7 @@
     }
 
     fn relist(&mut self, out: &mut Vec<Output>) {
-        let ServerList { entries, peers, placed, changes_at } =
+        let ServerList { entries, peers, rollout_servers: placed, changes_at } =
             self.book.server_list(self.now, &self.copy.state);
         (self.relist_at, self.listed_at, self.placed) = (changes_at, self.now, placed);
         let gone: Vec<u64> = self.peers.keys().filter(|n| !peers.contains_key(n)).copied().collect();
--- a/crates/proxy/src/routing_view.rs
+++ b/crates/proxy/src/routing_view.rs
@@ -183,7 +183,7 @@
     /// With whether each may get more.
     pub peers: BTreeMap<u64, (Peer, bool)>,
     /// The servers of services with a running rollout.
-    pub placed: BTreeMap<u64, RolloutServer>,
+    pub rollout_servers: BTreeMap<u64, RolloutServer>,
     pub changes_at: Option<Micros>,
 }
 
@@ -348,7 +348,7 @@
         let mut list = ServerList {
             entries: Vec::new(),
             peers: BTreeMap::new(),
-            placed: BTreeMap::new(),
+            rollout_servers: BTreeMap::new(),
             changes_at: None,
         };
         let duties = duties(state, self.place.exposure.share);
@@ -421,7 +421,7 @@
             if let Some(rollout) = state.rollouts.running_of(&s.service) {
                 let side = if is_new(rollout, s, state) { Side::New } else { Side::Old };
                 let placed = RolloutServer { epoch: rollout.epoch, side, trial, cold_until };
-                list.placed.insert(number, placed);
+                list.rollout_servers.insert(number, placed);
             }
         }
         self.servers.retain(|id, _| state.servers.contains_key(id));
