--- a/crates/proxy/src/reservations.rs
+++ b/crates/proxy/src/reservations.rs
@@ -1,9 +1,11 @@
-//! The cramp: how much of each booking's room this proxy holds, as a state machine. What is agreed of bookings, how fresh
-//! that is, and the time on this proxy's own steady clock come in; what to hold comes out. No time of day is read here.
+//! Tracks how much of the capacity of each booking this proxy has reserved, as a state machine. Its inputs
+//! are the agreed bookings, how fresh that information is, and this proxy's monotonic clock; its output is
+//! what the decisions reserve. It never reads the time of day.
 //!
-//! A part that shrinks binds at once. One that grows is taken only `settle` after it was heard, by when all others in
-//! touch have heard it too; who has heard nothing for that long holds nothing. So at any time the parts that are held come
-//! to no more than one division, which every copy has checked, whoever is cut off. See docs/system/bookings.md.
+//! A smaller part takes effect at once. A larger one takes effect only `settle_us` after this proxy learned
+//! of it: by then all other proxies in contact have learned of it, too. A proxy that has learned nothing for
+//! that long reserves nothing. So at any time the reserved parts add up to no more than one division, which
+//! every copy of the state has checked, whichever proxies are cut off. See docs/system/bookings.md.
 
 use crate::routing_view::RoutingView;
 use cluster::Micros;
@@ -13,15 +15,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
-/// How often what is held is looked at while it is taken up or given back.
+/// How often the reserved amount is updated during a ramp.
 const STEP_US: Micros = 50_000;
 
-/// The stated times of bookings.
+/// Time limits of bookings, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BookingTimes {
-    /// Within this all that are in touch have heard what is agreed.
+    /// Within this time all proxies that are in contact learn of an agreed change.
     pub settle_us: Micros,
-    /// So long after its end an open booking that nobody closes is closed here.
+    /// If nobody closes an open booking, this proxy closes it this long after its planned end.
     pub hold_us: Micros,
 }
 
@@ -31,89 +33,102 @@
     }
 }
 
-struct Held {
+struct Reservation {
     number: u32,
     booking: Booking,
     epoch: u64,
     phase: Phase,
     opened_at: Option<Micros>,
-    /// Since when it is given back, and how much of it had been taken up by then.
+    /// When closing began, and the fraction that was reserved by then.
     closed_at: Option<(Micros, f64)>,
+    /// This proxy's part of the last division.
     part: u32,
-    /// Parts before this one, and until when they bind.
-    before: VecDeque<(Micros, u32)>,
+    /// Earlier parts that still bind, each with the time until which it does.
+    earlier_parts: VecDeque<(Micros, u32)>,
 }
 
-/// What this proxy shows of a booking.
+/// The state of a reservation, for monitoring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReservationStatus {
     pub open: bool,
-    /// In force now.
+    /// The part in effect now.
     pub part: u32,
+    /// In-flight requests of the booking that go before all others.
     pub first: u32,
 }
 
+/// The reservations of this proxy, by booking name.
 pub struct Reservations {
-    me: Ipv4Addr,
+    own_ip: Ipv4Addr,
     times: BookingTimes,
-    held: BTreeMap<String, Held>,
-    /// Names by their numbers, from 1; none is given twice.
+    by_name: BTreeMap<String, Reservation>,
+    /// Booking names by number, from 1; no number is given twice.
     names: Vec<String>,
     fresh_at: Option<Micros>,
-    /// Until then nothing is held, as what was agreed meanwhile is not known.
-    unsure_until: Micros,
-    /// The longest that a request waits or is under way.
-    keep_us: Micros,
+    /// Nothing is reserved until then, because agreed changes may have been missed.
+    suspended_until: Micros,
+    /// The longest time that a request may wait or be in flight.
+    longest_request_us: Micros,
 }
 
 impl Reservations {
-    pub fn new(me: Ipv4Addr, times: BookingTimes) -> Reservations {
-        let (held, names) = (BTreeMap::new(), Vec::new());
-        Reservations { me, times, held, names, fresh_at: None, unsure_until: 0, keep_us: 0 }
+    pub fn new(own_ip: Ipv4Addr, times: BookingTimes) -> Reservations {
+        let (by_name, names) = (BTreeMap::new(), Vec::new());
+        Reservations {
+            own_ip,
+            times,
+            by_name,
+            names,
+            fresh_at: None,
+            suspended_until: 0,
+            longest_request_us: 0,
+        }
     }
 
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.by_name.is_empty()
     }
 
-    /// How long a request may take by the configuration.
+    /// Sets the longest time that a request may take by the configuration.
     pub fn set_longest_request(&mut self, longest_us: Micros) {
-        self.keep_us = longest_us;
+        self.longest_request_us = longest_us;
     }
 
-    /// When this proxy last held all that was acknowledged; whether it had been out of touch. Then it begins anew.
+    /// Sets when this proxy last had everything that was acknowledged. Returns whether it had been out of
+    /// contact; then it reserves nothing for `settle_us`.
     pub fn set_fresh_at(&mut self, now: Micros, at: Option<Micros>) -> bool {
-        let lapsed = at != self.fresh_at && self.stale(now);
+        let lapsed = at != self.fresh_at && self.is_stale(now);
         if lapsed {
-            self.unsure_until = now + self.times.settle_us;
+            self.suspended_until = now + self.times.settle_us;
         }
         self.fresh_at = at;
         lapsed
     }
 
-    fn stale(&self, now: Micros) -> bool {
+    fn is_stale(&self, now: Micros) -> bool {
         self.fresh_at.is_none_or(|at| now > at + self.times.settle_us)
     }
 
-    /// Takes over what is agreed, after each single change of it; `jumped`: divisions between may have been passed over.
+    /// Applies the agreed state; must be called after each single change of bookings. `jumped`: divisions in
+    /// between may have been skipped.
     pub fn apply_state(&mut self, now: Micros, state: &State, jumped: bool) {
         if jumped {
-            self.unsure_until = now + self.times.settle_us;
+            self.suspended_until = now + self.times.settle_us;
         }
         for (name, booked) in state.bookings.iter() {
-            self.learn_one(now, name, booked);
+            self.apply_booking(now, name, booked);
         }
-        for (name, held) in &mut self.held {
+        for (name, reservation) in &mut self.by_name {
             if !state.bookings.contains_key(name) {
-                held.turn(now, now, Phase::Ended);
+                reservation.enter_phase(now, now, Phase::Ended);
             }
         }
-        let keep_us = self.keep_us;
-        self.held.retain(|_, h| !h.over(now, keep_us));
+        let longest_request_us = self.longest_request_us;
+        self.by_name.retain(|_, r| !r.is_over(now, longest_request_us));
     }
 
-    fn learn_one(&mut self, now: Micros, name: &str, booked: &Booked) {
-        if booked.phase == Phase::Ended && !self.held.contains_key(name) {
+    fn apply_booking(&mut self, now: Micros, name: &str, booked: &Booked) {
+        if booked.phase == Phase::Ended && !self.by_name.contains_key(name) {
             return;
         }
         let number = match self.names.iter().position(|n| n == name) {
@@ -123,7 +138,7 @@
                 self.names.len()
             }
         };
-        let held = self.held.entry(name.to_string()).or_insert_with(|| Held {
+        let reservation = self.by_name.entry(name.to_string()).or_insert_with(|| Reservation {
             number: number as u32,
             booking: booked.booking.clone(),
             epoch: 0,
@@ -131,85 +146,87 @@
             opened_at: None,
             closed_at: None,
             part: 0,
-            before: VecDeque::new(),
+            earlier_parts: VecDeque::new(),
         });
-        if held.epoch < booked.epoch {
-            held.epoch = booked.epoch;
-            held.booking = booked.booking.clone();
-            held.turn(now, now.saturating_sub(booked.lasted_us(now)), booked.phase);
+        if reservation.epoch < booked.epoch {
+            reservation.epoch = booked.epoch;
+            reservation.booking = booked.booking.clone();
+            reservation.enter_phase(now, now.saturating_sub(booked.lasted_us(now)), booked.phase);
         }
-        held.before.retain(|b| now < b.0);
-        let part = if booked.phase == Phase::Ended { held.part } else { booked.division.part(self.me) };
-        if part != held.part {
-            held.before.push_back((now + self.times.settle_us, held.part));
-            held.part = part;
+        reservation.earlier_parts.retain(|b| now < b.0);
+        let part =
+            if booked.phase == Phase::Ended { reservation.part } else { booked.division.part(self.own_ip) };
+        if part != reservation.part {
+            reservation.earlier_parts.push_back((now + self.times.settle_us, reservation.part));
+            reservation.part = part;
         }
     }
 
-    /// The number of the booking that a request comes under now; 0: none.
+    /// The number of the booking that a request counts towards now; 0: none.
     pub fn booking_number(&self, now: Micros, tenant: Option<&str>, route: &str, service: &str) -> u32 {
-        let fits = |h: &&Held| {
-            let b = &h.booking;
+        let fits = |r: &&Reservation| {
+            let b = &r.booking;
             let of = |names: &[String], name: Option<&str>| {
                 names.is_empty() || name.is_some_and(|name| names.iter().any(|n| n == name))
             };
-            h.taken_up(now, self.times.hold_us) > 0.0
+            r.reserved_fraction(now, self.times.hold_us) > 0.0
                 && b.service == service
                 && of(&b.tenants, tenant)
                 && of(&b.routes, Some(route))
         };
-        self.held.values().find(fits).map_or(0, |h| h.number)
+        self.by_name.values().find(fits).map_or(0, |r| r.number)
     }
 
-    /// Under this the use of a booking is reported.
+    /// The key under which usage reports name a booking.
     pub fn report_key(&self, number: usize) -> u32 {
         number.checked_sub(1).and_then(|n| self.names.get(n)).map_or(0, |name| key(name))
     }
 
-    /// What to hold now, at so many proxies.
-    pub fn holds(&mut self, now: Micros, nodes: usize, book: &RoutingView) -> Vec<Hold> {
+    /// What the decisions are to reserve now, with `nodes` proxies.
+    pub fn holds(&mut self, now: Micros, nodes: usize, routing: &RoutingView) -> Vec<Hold> {
         let mut holds = Vec::new();
-        let (times, keep_us) = (self.times, self.keep_us);
-        self.held.retain(|_, h| !h.over(now, keep_us));
-        if self.stale(now) || now < self.unsure_until {
+        let (times, longest_request_us) = (self.times, self.longest_request_us);
+        self.by_name.retain(|_, r| !r.is_over(now, longest_request_us));
+        if self.is_stale(now) || now < self.suspended_until {
             return holds;
         }
-        for h in self.held.values_mut() {
-            h.lease(now, times.hold_us);
-            let part = h.in_force(now);
-            let taken_up = h.taken_up(now, times.hold_us);
-            let first = whole(part, h.lately(now, keep_us, times.hold_us));
-            let Some(service) = book.service(&h.booking.service) else { continue };
-            let even = f64::from(h.booking.flight) / nodes.max(1) as f64;
-            let moved = (f64::from(part) - even) * taken_up;
-            let kept = if h.booking.unused == Unused::Hold { whole(part, taken_up) } else { 0 };
+        for r in self.by_name.values_mut() {
+            r.close_if_overdue(now, times.hold_us);
+            let part = r.effective_part(now);
+            let reserved_fraction = r.reserved_fraction(now, times.hold_us);
+            let first = whole_permits(part, r.recent_peak_fraction(now, longest_request_us, times.hold_us));
+            let Some(service) = routing.service(&r.booking.service) else { continue };
+            let even = f64::from(r.booking.flight) / nodes.max(1) as f64;
+            let moved = (f64::from(part) - even) * reserved_fraction;
+            let kept =
+                if r.booking.unused == Unused::Hold { whole_permits(part, reserved_fraction) } else { 0 };
             if first > 0 || moved != 0.0 {
-                holds.push(Hold { booking: h.number, service, first, kept, moved });
+                holds.push(Hold { booking: r.number, service, first, kept, moved });
             }
         }
         holds
     }
 
-    /// When what is held changes though nothing is heard.
+    /// When the reserved amounts change next if nothing is learned.
     pub fn wake_at(&self, now: Micros) -> Micros {
-        if self.held.is_empty() {
+        if self.by_name.is_empty() {
             return Micros::MAX;
         }
         let stale = self.fresh_at.map(|at| at + self.times.settle_us + 1);
-        let mut times: Vec<Micros> = stale.into_iter().chain([self.unsure_until]).collect();
-        for h in self.held.values() {
-            times.extend(h.before.iter().map(|b| b.0));
-            let ramp_us = h.ramp_us();
-            if let Some(opened) = h.opened_at {
-                let lease = opened + h.window_us() + self.times.hold_us;
-                times.push(lease);
+        let mut times: Vec<Micros> = stale.into_iter().chain([self.suspended_until]).collect();
+        for r in self.by_name.values() {
+            times.extend(r.earlier_parts.iter().map(|b| b.0));
+            let ramp_us = r.ramp_us();
+            if let Some(opened) = r.opened_at {
+                let overdue_at = opened + r.window_us() + self.times.hold_us;
+                times.push(overdue_at);
                 if now < opened + ramp_us {
                     times.push(now + STEP_US);
                 }
             }
-            if let Some((closed, _)) = h.closed_at {
-                times.push(closed + ramp_us + self.keep_us);
-                if now < closed + ramp_us + self.keep_us {
+            if let Some((closed, _)) = r.closed_at {
+                times.push(closed + ramp_us + self.longest_request_us);
+                if now < closed + ramp_us + self.longest_request_us {
                     times.push(now + STEP_US);
                 }
             }
@@ -217,36 +234,41 @@
         times.into_iter().filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
-    /// What is held of each booking, for who watches.
+    /// The state of each reservation, for monitoring.
     pub fn status(&self, now: Micros) -> BTreeMap<&str, ReservationStatus> {
-        let sure = !self.stale(now) && now >= self.unsure_until;
-        let one = |h: &Held| {
-            let part = if sure { h.in_force(now) } else { 0 };
-            let open = h.opened_at.is_some() && h.closed_at.is_none();
-            ReservationStatus { open, part, first: whole(part, h.taken_up(now, self.times.hold_us)) }
+        let in_contact = !self.is_stale(now) && now >= self.suspended_until;
+        let one = |r: &Reservation| {
+            let part = if in_contact { r.effective_part(now) } else { 0 };
+            let open = r.opened_at.is_some() && r.closed_at.is_none();
+            ReservationStatus {
+                open,
+                part,
+                first: whole_permits(part, r.reserved_fraction(now, self.times.hold_us)),
+            }
         };
-        self.held.iter().map(|(name, h)| (name.as_str(), one(h))).collect()
+        self.by_name.iter().map(|(name, r)| (name.as_str(), one(r))).collect()
     }
 }
 
-/// So much of a part, in whole permits and never more.
-fn whole(part: u32, taken_up: f64) -> u32 {
-    (f64::from(part) * taken_up) as u32
+/// A fraction of a part in whole permits, rounded down.
+fn whole_permits(part: u32, reserved_fraction: f64) -> u32 {
+    (f64::from(part) * reserved_fraction) as u32
 }
 
-impl Held {
-    /// It has come into this phase at that time. Phases of one epoch do not go back; a booking that is planned anew
-    /// under its name has not opened yet.
-    fn turn(&mut self, now: Micros, at: Micros, phase: Phase) {
+impl Reservation {
+    /// Enters a phase that began at `at`. Within one epoch phases don't go back; a booking that is planned
+    /// anew under its name hasn't opened yet.
+    fn enter_phase(&mut self, now: Micros, at: Micros, phase: Phase) {
         match phase {
             Phase::Planned => (self.opened_at, self.closed_at) = (None, None),
             Phase::Open => {
                 self.opened_at.get_or_insert(at);
-                // Closed here by itself at most: its end has been put off.
+                // Only this proxy itself can have closed it before; its end has been postponed since.
                 self.closed_at = None;
             }
             Phase::Closing | Phase::Ended => {
-                // One that was never seen open is given back as if it had been: what is left is the ramp.
+                // If this proxy never saw it open, it is released as if it had been fully open, so only the
+                // ramp down is left.
                 let opened = match self.opened_at {
                     Some(opened) => opened,
                     None if phase == Phase::Closing => at.saturating_sub(self.ramp_us()),
@@ -257,7 +279,7 @@
                 };
                 self.opened_at = Some(opened);
                 if self.closed_at.is_none() {
-                    self.closed_at = Some((at.min(now), self.opened(at)));
+                    self.closed_at = Some((at.min(now), self.ramp_up_fraction(at)));
                 }
             }
         }
@@ -268,56 +290,65 @@
         Micros::from(self.booking.ramp_ms) * 1000
     }
 
+    /// The planned time between opening and closing.
     fn window_us(&self) -> Micros {
         self.booking.closes_ms.saturating_sub(self.booking.opens_ms).saturating_mul(1000)
     }
 
-    /// Nobody has closed it in time.
-    fn lease(&mut self, now: Micros, hold_us: Micros) {
+    /// Closes the booking if nobody else has done so in time.
+    fn close_if_overdue(&mut self, now: Micros, hold_us: Micros) {
         let Some(opened) = self.opened_at.filter(|_| self.closed_at.is_none()) else { return };
         let end = opened + self.window_us() + hold_us;
         if now >= end {
-            self.closed_at = Some((end, self.opened(end)));
+            self.closed_at = Some((end, self.ramp_up_fraction(end)));
         }
     }
 
-    /// How much of it is taken up by opening alone.
-    fn opened(&self, now: Micros) -> f64 {
+    /// The fraction that is reserved by the ramp up alone.
+    fn ramp_up_fraction(&self, now: Micros) -> f64 {
         let Some(at) = self.opened_at else { return 0.0 };
         let (since, ramp) = (now.saturating_sub(at) as f64, self.ramp_us() as f64);
         if ramp > 0.0 { (since / ramp).min(1.0) } else { 1.0 }
     }
 
-    /// How much of the part is held: from none to all over the ramp, and back.
-    fn taken_up(&self, now: Micros, hold_us: Micros) -> f64 {
-        let lease = self.opened_at.map(|at| at + self.window_us() + hold_us);
-        let closed = self.closed_at.or(lease.filter(|end| now >= *end).map(|end| (end, self.opened(end))));
-        let Some((at, from)) = closed.filter(|c| now >= c.0) else { return self.opened(now) };
+    /// The fraction of the part that is reserved: it rises from 0 to 1 over the ramp, and falls back after
+    /// closing.
+    fn reserved_fraction(&self, now: Micros, hold_us: Micros) -> f64 {
+        let overdue_at = self.opened_at.map(|at| at + self.window_us() + hold_us);
+        let closed = self
+            .closed_at
+            .or(overdue_at.filter(|end| now >= *end).map(|end| (end, self.ramp_up_fraction(end))));
+        let Some((at, from)) = closed.filter(|c| now >= c.0) else { return self.ramp_up_fraction(now) };
         let (since, ramp) = (now.saturating_sub(at) as f64, self.ramp_us() as f64);
         if ramp > 0.0 { (from - since / ramp).max(0.0) } else { 0.0 }
     }
 
-    /// The most that was held while requests came that may still be here: they end under the phase under which they were
-    /// taken.
-    fn lately(&self, now: Micros, keep_us: Micros, hold_us: Micros) -> f64 {
-        let now_up = self.taken_up(now, hold_us);
+    /// The largest reserved fraction while requests arrived that may still be in flight, because a request
+    /// stays under the booking until it ends.
+    fn recent_peak_fraction(&self, now: Micros, longest_request_us: Micros, hold_us: Micros) -> f64 {
+        let fraction_now = self.reserved_fraction(now, hold_us);
         match self.closed_at {
-            Some((at, from)) if now < at + keep_us => from,
-            Some(_) => now_up.max(self.taken_up(now.saturating_sub(keep_us), hold_us)),
-            None => now_up,
+            Some((at, from)) if now < at + longest_request_us => from,
+            Some(_) => {
+                fraction_now.max(self.reserved_fraction(now.saturating_sub(longest_request_us), hold_us))
+            }
+            None => fraction_now,
         }
     }
 
-    fn in_force(&self, now: Micros) -> u32 {
-        let binding = self.before.iter().filter(|b| now < b.0).map(|b| b.1);
+    /// The smallest of the current part and the earlier ones that still bind.
+    fn effective_part(&self, now: Micros) -> u32 {
+        let binding = self.earlier_parts.iter().filter(|b| now < b.0).map(|b| b.1);
         binding.chain([self.part]).min().unwrap_or(0)
     }
 
-    /// Nothing more is held under it, and no request is left.
-    fn over(&self, now: Micros, keep_us: Micros) -> bool {
+    /// Nothing is reserved any more, and no request under the booking is left.
+    fn is_over(&self, now: Micros, longest_request_us: Micros) -> bool {
         match (self.phase, self.closed_at) {
             (Phase::Ended, None) => true,
-            (_, Some((at, _))) => now > at + self.ramp_us() + keep_us && self.phase >= Phase::Closing,
+            (_, Some((at, _))) => {
+                now > at + self.ramp_us() + longest_request_us && self.phase >= Phase::Closing
+            }
             _ => false,
         }
     }
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -1,5 +1,5 @@
-//! What proxies hold of a booking: never more than was agreed all together, taken up and given back over the ramp, and
-//! without anybody's time of day.
+//! Tests of what proxies reserve for a booking: never more than agreed in total, ramped up and down, and
+//! without reading the time of day.
 
 mod common;
 
@@ -44,139 +44,145 @@
     Command::Book(BookChange::Divide { name: "night".into(), number, parts })
 }
 
-/// A proxy that hears each command at once, and is in touch while it is told so.
-struct One {
+/// A proxy that learns of each command at once; it stays in contact while [`SingleProxy::advance`] advances
+/// the time.
+struct SingleProxy {
     copy: Copy,
-    cramp: Reservations,
+    reservations: Reservations,
     now: u64,
 }
 
-impl One {
-    fn new() -> One {
-        let mut one = One {
+impl SingleProxy {
+    fn new() -> SingleProxy {
+        let mut proxy = SingleProxy {
             copy: Copy::default(),
-            cramp: Reservations::new(node(1, "north-a").ip, TIMES),
+            reservations: Reservations::new(node(1, "north-a").ip, TIMES),
             now: SECOND,
         };
-        one.cramp.set_longest_request(2 * SECOND);
-        one.cramp.set_fresh_at(one.now, Some(one.now));
-        one.pass(4 * SECOND);
-        one
+        proxy.reservations.set_longest_request(2 * SECOND);
+        proxy.reservations.set_fresh_at(proxy.now, Some(proxy.now));
+        proxy.advance(4 * SECOND);
+        proxy
     }
 
     fn learn(&mut self, command: Command) {
         let rev = self.copy.rev() + 1;
         self.copy.apply(self.now, rev, Some(command));
-        self.cramp.apply_state(self.now, &self.copy.state, false);
+        self.reservations.apply_state(self.now, &self.copy.state, false);
     }
 
-    /// Time passes in touch.
-    fn pass(&mut self, us: u64) {
+    /// Advances the time while in contact.
+    fn advance(&mut self, us: u64) {
         let until = self.now + us;
         while self.now < until {
             self.now = (self.now + 500 * MS).min(until);
-            self.cramp.set_fresh_at(self.now, Some(self.now));
+            self.reservations.set_fresh_at(self.now, Some(self.now));
         }
     }
 
     fn part(&self) -> u32 {
-        self.cramp.status(self.now).get("night").map_or(0, |s| s.part)
+        self.reservations.status(self.now).get("night").map_or(0, |s| s.part)
     }
 
     fn first(&self) -> u32 {
-        self.cramp.status(self.now).get("night").map_or(0, |s| s.first)
+        self.reservations.status(self.now).get("night").map_or(0, |s| s.first)
     }
 
-    fn taken(&self) -> bool {
-        self.cramp.booking_number(self.now, Some("reed"), "get", "heron") > 0
+    fn is_open_to_caller(&self) -> bool {
+        self.reservations.booking_number(self.now, Some("reed"), "get", "heron") > 0
     }
 }
 
 #[test]
 fn a_part_that_grows_waits_until_all_have_heard_and_one_that_shrinks_does_not() {
-    let mut one = One::new();
-    one.learn(put(booking(12, 0), 0));
-    one.learn(divide(1, &[4, 8]));
-    one.pass(TIMES.settle_us - MS);
-    assert_eq!(one.part(), 0);
-    one.pass(MS);
-    assert_eq!(one.part(), 4);
-    one.learn(divide(2, &[9, 3]));
-    one.pass(SECOND);
-    one.learn(divide(3, &[6, 6]));
-    assert_eq!(one.part(), 4);
-    one.learn(divide(4, &[2, 10]));
-    assert_eq!(one.part(), 2);
-    one.learn(divide(5, &[12, 0]));
-    one.pass(TIMES.settle_us - MS);
-    assert_eq!(one.part(), 2);
-    one.pass(MS);
-    assert_eq!(one.part(), 12);
+    let mut proxy = SingleProxy::new();
+    proxy.learn(put(booking(12, 0), 0));
+    proxy.learn(divide(1, &[4, 8]));
+    proxy.advance(TIMES.settle_us - MS);
+    assert_eq!(proxy.part(), 0);
+    proxy.advance(MS);
+    assert_eq!(proxy.part(), 4);
+    proxy.learn(divide(2, &[9, 3]));
+    proxy.advance(SECOND);
+    proxy.learn(divide(3, &[6, 6]));
+    assert_eq!(proxy.part(), 4);
+    proxy.learn(divide(4, &[2, 10]));
+    assert_eq!(proxy.part(), 2);
+    proxy.learn(divide(5, &[12, 0]));
+    proxy.advance(TIMES.settle_us - MS);
+    assert_eq!(proxy.part(), 2);
+    proxy.advance(MS);
+    assert_eq!(proxy.part(), 12);
 }
 
 #[test]
-fn it_is_taken_up_and_given_back_over_the_ramp_and_for_those_who_are_booked_alone() {
-    let mut one = One::new();
-    one.learn(put(booking(12, 4000), 0));
-    one.learn(divide(1, &[8, 4]));
-    one.pass(10 * SECOND);
-    assert_eq!((one.part(), one.first(), one.taken()), (8, 0, false), "armed");
-    one.learn(phase(1, Phase::Open));
-    let mut firsts = Vec::new();
+fn a_reservation_follows_the_ramp_and_covers_only_the_booked_callers() {
+    let mut proxy = SingleProxy::new();
+    proxy.learn(put(booking(12, 4000), 0));
+    proxy.learn(divide(1, &[8, 4]));
+    proxy.advance(10 * SECOND);
+    assert_eq!(
+        (proxy.part(), proxy.first(), proxy.is_open_to_caller()),
+        (8, 0, false),
+        "divided but not open yet"
+    );
+    proxy.learn(phase(1, Phase::Open));
+    let mut amounts = Vec::new();
     for _ in 0..9 {
-        firsts.push(one.first());
-        one.pass(500 * MS);
+        amounts.push(proxy.first());
+        proxy.advance(500 * MS);
     }
-    assert_eq!(firsts, [0, 1, 2, 3, 4, 5, 6, 7, 8]);
-    assert!(one.taken());
-    assert_eq!(one.cramp.booking_number(one.now, Some("rush"), "get", "heron"), 0);
-    assert_eq!(one.cramp.booking_number(one.now, Some("reed"), "get", "stilt"), 0);
-    one.learn(phase(2, Phase::Closing));
-    one.pass(2 * SECOND);
-    assert_eq!((one.first(), one.taken()), (4, true));
-    one.pass(2 * SECOND);
-    assert_eq!((one.first(), one.taken()), (0, false));
-    one.pass(3 * SECOND);
-    one.learn(phase(3, Phase::Ended));
-    assert!(one.cramp.is_empty());
+    assert_eq!(amounts, [0, 1, 2, 3, 4, 5, 6, 7, 8]);
+    assert!(proxy.is_open_to_caller());
+    assert_eq!(proxy.reservations.booking_number(proxy.now, Some("rush"), "get", "heron"), 0);
+    assert_eq!(proxy.reservations.booking_number(proxy.now, Some("reed"), "get", "stilt"), 0);
+    proxy.learn(phase(2, Phase::Closing));
+    proxy.advance(2 * SECOND);
+    assert_eq!((proxy.first(), proxy.is_open_to_caller()), (4, true));
+    proxy.advance(2 * SECOND);
+    assert_eq!((proxy.first(), proxy.is_open_to_caller()), (0, false));
+    proxy.advance(3 * SECOND);
+    proxy.learn(phase(3, Phase::Ended));
+    assert!(proxy.reservations.is_empty());
 }
 
 #[test]
-fn one_that_nobody_closes_ends_by_its_own_clock_and_one_that_nobody_opens_never_opens() {
-    let mut one = One::new();
-    one.learn(put(booking(12, 0), 0));
-    one.learn(divide(1, &[8, 4]));
-    one.pass(200 * SECOND);
-    assert!(!one.taken());
-    one.learn(phase(1, Phase::Open));
-    one.pass(65 * SECOND - MS);
-    assert!(one.taken());
-    one.pass(MS);
-    assert!(!one.taken());
-    assert_eq!(one.first(), 0);
+fn a_booking_nobody_closes_ends_by_the_proxys_clock_and_one_nobody_opens_stays_closed() {
+    let mut proxy = SingleProxy::new();
+    proxy.learn(put(booking(12, 0), 0));
+    proxy.learn(divide(1, &[8, 4]));
+    proxy.advance(200 * SECOND);
+    assert!(!proxy.is_open_to_caller());
+    proxy.learn(phase(1, Phase::Open));
+    proxy.advance(65 * SECOND - MS);
+    assert!(proxy.is_open_to_caller());
+    proxy.advance(MS);
+    assert!(!proxy.is_open_to_caller());
+    assert_eq!(proxy.first(), 0);
 }
 
 #[test]
-fn who_is_out_of_touch_holds_nothing_and_begins_anew() {
-    let mut one = One::new();
-    one.learn(put(booking(12, 0), 0));
-    one.learn(divide(1, &[8, 4]));
-    one.learn(phase(1, Phase::Open));
-    one.pass(4 * SECOND);
-    assert_eq!(one.first(), 8);
-    one.now += TIMES.settle_us;
-    assert_eq!(one.first(), 8);
-    one.now += 1;
-    assert_eq!((one.first(), one.taken()), (0, true));
-    one.pass(TIMES.settle_us);
-    assert_eq!(one.first(), 0);
-    one.pass(MS * 500);
-    assert_eq!(one.first(), 8);
+fn a_proxy_out_of_contact_reserves_nothing_and_settles_before_it_reserves_again() {
+    let mut proxy = SingleProxy::new();
+    proxy.learn(put(booking(12, 0), 0));
+    proxy.learn(divide(1, &[8, 4]));
+    proxy.learn(phase(1, Phase::Open));
+    proxy.advance(4 * SECOND);
+    assert_eq!(proxy.first(), 8);
+    proxy.now += TIMES.settle_us;
+    assert_eq!(proxy.first(), 8);
+    proxy.now += 1;
+    assert_eq!((proxy.first(), proxy.is_open_to_caller()), (0, true));
+    proxy.advance(TIMES.settle_us);
+    assert_eq!(proxy.first(), 0);
+    proxy.advance(MS * 500);
+    assert_eq!(proxy.first(), 8);
 }
 
-/// Three proxies, divisions at any time, news that are late, cut off, or come as a whole state; and one that is started
-/// again. Says the most that was held above what was booked. `blind`: they do not notice that they are out of touch.
-fn play(seed: u64, blind: bool) -> (i64, u32) {
+/// Simulates three proxies with divisions at random times and news that come late, are cut off or arrive as
+/// a whole state; proxies restart, too. Returns the largest excess over the booking, and the largest sum of
+/// the parts. `blind`: proxies don't notice that they are out of contact.
+fn simulate(seed: u64, blind: bool) -> (i64, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let flight = 12;
     let mut log: Vec<(u64, Command)> = vec![(0, put(booking(flight, 0), 0)), (0, phase(1, Phase::Open))];
@@ -186,8 +192,8 @@
         Front::new(place, SECOND, 1, 0)
     };
     let mut proxies: Vec<(Front, u64)> = (1..=3).map(|n| (front(n), 0)).collect();
-    let mut cut = [0u64; 3];
-    let (mut worst, mut most) = (i64::MIN, 0);
+    let mut cut_off_until = [0u64; 3];
+    let (mut excess, mut largest_sum) = (i64::MIN, 0);
     let mut number = 0;
     for step in 1..600u64 {
         let now = step * 100 * MS;
@@ -199,26 +205,26 @@
         }
         for n in 0..3 {
             if rng.u32(0..80) == 0 {
-                cut[n] = now + rng.u64(0..10 * SECOND);
+                cut_off_until[n] = now + rng.u64(0..10 * SECOND);
             }
             if rng.u32(0..200) == 0 {
                 proxies[n] = (front(n as u8 + 1), 0);
             }
             let (front, at) = &mut proxies[n];
-            // What it hears is late by up to the time within which all in touch hear.
+            // News are late by at most the time within which all proxies in contact learn of a change.
             let late = if rng.u32(0..4) == 0 { rng.u64(0..TIMES.settle_us) } else { 200 * MS };
             let heard = now.saturating_sub(late);
-            if now >= cut[n] && rng.u32(0..3) > 0 && heard >= *at {
+            if now >= cut_off_until[n] && rng.u32(0..3) > 0 && heard >= *at {
                 let from = front.copy.rev();
-                let upto = log.iter().filter(|c| c.0 <= heard).count() as u64;
-                if upto > from {
+                let up_to = log.iter().filter(|c| c.0 <= heard).count() as u64;
+                if up_to > from {
                     let commands: Vec<_> =
-                        (1..=upto).zip(log.iter().map(|c| c.1.clone())).filter(|c| c.0 > from).collect();
+                        (1..=up_to).zip(log.iter().map(|c| c.1.clone())).filter(|c| c.0 > from).collect();
                     let news = if rng.u32(0..4) == 0 {
-                        let all = log.iter().take(upto as usize).map(|c| c.1.clone());
+                        let all = log.iter().take(up_to as usize).map(|c| c.1.clone());
                         News::Whole(copy(now, all.collect()).state.write(now))
                     } else {
-                        News::Run { from, to: upto, commands }
+                        News::Run { from, to: up_to, commands }
                     };
                     front.handle(now, Input::News(news), &mut Vec::new());
                 }
@@ -231,23 +237,23 @@
             front.handle(now, Input::Tick, &mut Vec::new());
         }
         let sum: u32 = proxies.iter().map(|p| p.0.bookings().get("night").map_or(0, |s| s.part)).sum();
-        worst = worst.max(i64::from(sum) - i64::from(flight));
-        most = most.max(sum);
+        excess = excess.max(i64::from(sum) - i64::from(flight));
+        largest_sum = largest_sum.max(sum);
     }
-    (worst, most)
+    (excess, largest_sum)
 }
 
 #[test]
 fn parts_never_come_to_more_than_the_booking_whoever_is_cut_off() {
     let mut used = 0;
     for seed in 0..300 {
-        let (worst, most) = play(seed, false);
-        assert!(worst <= 0, "seed {seed}: {worst} too much");
-        used += u32::from(most == 12);
+        let (excess, largest_sum) = simulate(seed, false);
+        assert!(excess <= 0, "seed {seed}: {excess} more than booked");
+        used += u32::from(largest_sum == 12);
     }
-    assert!(used > 100, "it is made use of: {used}");
-    // Planted: who does not notice that it is cut off goes on holding what others have by now.
-    assert!((0..30).any(|seed| play(seed, true).0 > 0));
+    assert!(used > 100, "seeds that reserved the whole booking: {used}");
+    // Control: proxies that don't notice a lost connection keep parts that others have by now.
+    assert!((0..30).any(|seed| simulate(seed, true).0 > 0));
 }
 
 #[test]
