--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -1,6 +1,9 @@
-//! Fire drills in a proxy, as a state machine of their own: which request meets a rehearsed fault, by which grant, until
-//! when, and what is told of it. It acts around the decisions on requests and is told to none of them; see
-//! docs/system/drills.md.
+//! Fault-injection drills in a proxy, as a state machine: which request gets a rehearsed fault, by which
+//! grant, until when, and what is reported about it. It acts around the decisions on requests, which learn
+//! nothing of it; see docs/system/drills.md.
+//!
+//! A drill may bound the number of its faults. Then each fault needs a grant in the agreed state, and the
+//! request waits for the answer.
 
 use cluster::drill::{Drill, Drills as Agreed, Rows, Said};
 use cluster::talk::Lease;
@@ -10,114 +13,127 @@
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A request that asks for a grant is held back so long at the most, and so great a part of its time.
-const HOLD_US: Micros = 400_000;
-const HOLD_PART: Micros = 3;
-/// What was told is told again after so long, until it is in the log; and what is no question goes out so often.
-const AGAIN_US: Micros = 1_000_000;
-/// With more than this untold a rule no longer acts: it could not be accounted for.
-const MOST_UNTOLD: usize = 128;
-/// The guard looks at so much time, and at no fewer failures than this.
-const WINDOW_US: Micros = 5_000_000;
-const FEWEST: u32 = 10;
+/// The longest time that a request waits for a grant.
+const MAX_HOLD_US: Micros = 400_000;
+/// A request also waits no longer than its remaining time divided by this.
+const MAX_HOLD_DIVISOR: Micros = 3;
+/// An unconfirmed report is repeated after this time; reports that are not urgent go out at most this often.
+const RESEND_US: Micros = 1_000_000;
+/// With this many reports unconfirmed a drill injects nothing more, because its faults couldn't be reported.
+const MAX_UNCONFIRMED: usize = 128;
+/// The window over which the guard counts the answers to other callers.
+const GUARD_WINDOW_US: Micros = 5_000_000;
+/// The guard needs at least this many failures in a window.
+const MIN_GUARD_FAILURES: u32 = 10;
 
-/// A request as a rule sees it.
+/// What a drill sees of a request.
 pub struct DrilledRequest<'a> {
     pub id: u64,
     pub tenant: Option<&'a str>,
     pub key: Option<&'a str>,
     pub route: &'a str,
-    /// Its header lines.
+    /// The header lines.
     pub head: &'a [u8],
     pub attempt: &'a [u8],
     pub left_us: Micros,
 }
 
-/// What becomes of a request.
+/// What a drill does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DrillDecision {
+    /// The request goes on without a fault.
     Pass,
-    /// Asked for; `granted` tells, or `late` after this time.
+    /// A grant was asked for: the request waits for it, at most until this time.
     Hold(Micros),
     Inject(InjectedFault),
 }
 
-/// A request that meets its fault.
+/// A fault that is injected into a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InjectedFault {
+    /// The drill's epoch.
     pub epoch: Rev,
     pub fault: Fault,
 }
 
-/// What one life of this proxy has to say of one drill.
+/// The reports of this run of the proxy on one drill, in order.
 #[derive(Default)]
-struct Account {
-    /// The number of the first that is not in the log yet.
+struct ReportQueue {
+    /// The number of the first report that isn't in the agreed state yet.
     first: u64,
-    untold: VecDeque<Said>,
-    told_at: Micros,
-    /// Something must go out at once.
+    /// Reports that aren't in the agreed state yet.
+    unconfirmed: VecDeque<Said>,
+    sent_at: Micros,
+    /// A report must go out at once.
     urgent: bool,
 }
 
-impl Account {
-    fn say(&mut self, said: Said) -> u64 {
+impl ReportQueue {
+    /// Appends a report and returns its number.
+    fn push(&mut self, said: Said) -> u64 {
         self.urgent |= !matches!(said, Said::Met { .. });
-        self.untold.push_back(said);
-        self.first + self.untold.len() as u64 - 1
+        self.unconfirmed.push_back(said);
+        self.first + self.unconfirmed.len() as u64 - 1
     }
 }
 
+/// A running drill.
 struct Rule {
     drill: Drill,
-    /// The first end that was heard of, and until when it was heard that it still runs.
-    ends: Micros,
-    heard_until: Micros,
-    /// Requests that wait for their grants, by the grants' numbers; None: it waits no more.
-    asked: BTreeMap<u64, Option<u64>>,
-    /// Grants that came too late for those who asked.
-    spare: Vec<u64>,
-    guard: Watch,
+    /// The earliest end that was heard of, and the time until which the last lease holds.
+    ends_at: Micros,
+    lease_until: Micros,
+    /// The requests that wait for a grant, by the number of the report that asked for it; None: the request
+    /// no longer waits.
+    waiting: BTreeMap<u64, Option<u64>>,
+    /// Grants that came too late for the requests that asked for them.
+    unused_grants: Vec<u64>,
+    guard: GuardState,
 }
 
+/// What a drill's guard has counted.
 #[derive(Default)]
-struct Watch {
+struct GuardState {
     tripped: bool,
-    /// Of others: asked and failed before, in thousandths.
-    before: u32,
-    since: Micros,
+    /// The failure rate of requests at this proxy before the drill, per thousand.
+    failed_before: u32,
+    window_start: Micros,
+    /// Answers to other callers in the window, and the failures among them.
     asked: u32,
     failed: u32,
-    /// Failures of the caller that met no rehearsed fault.
+    /// Failures of the drilled caller into which no fault was injected.
     real: u32,
 }
 
+/// The drills of this run of the proxy.
 pub struct Drills {
     ip: Ipv4Addr,
+    /// Identifies this run of the proxy.
     life: u64,
     beat_us: Micros,
     rules: BTreeMap<Rev, Rule>,
     leases: BTreeMap<Rev, (Micros, Micros)>,
-    accounts: BTreeMap<Rev, Account>,
-    /// Requests of callers that are drilled, and the drill; those that met a fault.
-    callers: BTreeMap<u64, Rev>,
-    met: BTreeSet<u64>,
+    queues: BTreeMap<Rev, ReportQueue>,
+    /// Requests of drilled callers, with the epoch of the drill; and requests into which a fault was
+    /// injected.
+    drilled: BTreeMap<u64, Rev>,
+    injected: BTreeSet<u64>,
 }
 
 impl Drills {
     pub fn new(ip: Ipv4Addr, life: u64, beat_us: Micros) -> Drills {
-        let (rules, leases, accounts) = Default::default();
-        let (callers, met) = Default::default();
-        Drills { ip, life, beat_us, rules, leases, accounts, callers, met }
+        let (rules, leases, queues) = Default::default();
+        let (drilled, injected) = Default::default();
+        Drills { ip, life, beat_us, rules, leases, queues, drilled, injected }
     }
 
-    /// Nothing is rehearsed and nothing is to be told.
+    /// No drill runs and nothing is left to report.
     pub fn is_idle(&self) -> bool {
-        self.rules.is_empty() && self.accounts.is_empty()
+        self.rules.is_empty() && self.queues.is_empty()
     }
 
-    /// The agreed drills, and what part of others' requests has failed here so far, in thousandths. Tells which held
-    /// requests go on, and what those meet that were granted a fault.
+    /// Applies the agreed drills. `failed`: the failure rate of all requests at this proxy so far, per
+    /// thousand. Returns the waiting requests that go on, each with the fault that it was granted, if any.
     pub fn apply_state(
         &mut self,
         now: Micros,
@@ -125,192 +141,211 @@
         failed: u32,
     ) -> Vec<(u64, Option<InjectedFault>)> {
         let running: BTreeSet<Rev> = agreed.running().map(|h| h.epoch).collect();
-        let mut free = Vec::new();
+        let mut released = Vec::new();
         for held in agreed.0.values() {
             let up_to = held.tellers.get(&(self.ip, self.life)).map_or(0, |t| t.up_to);
-            if let Some(account) = self.accounts.get_mut(&held.epoch) {
-                while account.first <= up_to && account.untold.pop_front().is_some() {
-                    account.first += 1;
+            if let Some(queue) = self.queues.get_mut(&held.epoch) {
+                while queue.first <= up_to && queue.unconfirmed.pop_front().is_some() {
+                    queue.first += 1;
                 }
             }
             let Some(rule) = self.rules.get_mut(&held.epoch) else { continue };
-            let answered: Vec<u64> = rule.asked.keys().copied().take_while(|n| *n <= up_to).collect();
+            let answered: Vec<u64> = rule.waiting.keys().copied().take_while(|n| *n <= up_to).collect();
             for number in answered {
-                let waits = rule.asked.remove(&number).flatten();
+                let waiting_id = rule.waiting.remove(&number).flatten();
                 let granted = held.granted(self.ip, self.life, number) == Some(true);
-                match waits {
-                    None if granted => rule.spare.push(number),
+                match waiting_id {
+                    None if granted => rule.unused_grants.push(number),
                     None => {}
-                    Some(id) if granted && rule.acts(now) => free.push((id, held.epoch, Some(number))),
-                    Some(id) => free.push((id, held.epoch, None)),
+                    Some(id) if granted && rule.is_active(now) => {
+                        released.push((id, held.epoch, Some(number)))
+                    }
+                    Some(id) => released.push((id, held.epoch, None)),
                 }
             }
         }
         for (_, rule) in self.rules.iter_mut().filter(|(epoch, _)| !running.contains(*epoch)) {
-            free.extend(std::mem::take(&mut rule.asked).into_values().flatten().map(|id| (id, 0, None)));
+            released
+                .extend(std::mem::take(&mut rule.waiting).into_values().flatten().map(|id| (id, 0, None)));
         }
-        let free = free.into_iter().map(|(id, epoch, grant)| {
-            let met = grant.and_then(|_| self.meet(id, epoch, grant, None));
-            (id, met)
+        let released = released.into_iter().map(|(id, epoch, grant)| {
+            let fault = grant.and_then(|_| self.inject(id, epoch, grant, None));
+            (id, fault)
         });
-        let free = free.collect();
+        let released = released.collect();
         self.rules.retain(|epoch, _| running.contains(epoch));
         let known = |epoch: &Rev| agreed.0.values().any(|h| h.epoch == *epoch);
-        self.accounts.retain(|e, a| running.contains(e) || (known(e) && !a.untold.is_empty()));
-        self.leases.retain(|_, (ends, _)| now < *ends);
+        self.queues.retain(|e, a| running.contains(e) || (known(e) && !a.unconfirmed.is_empty()));
+        self.leases.retain(|_, (ends_at, _)| now < *ends_at);
         for held in agreed.running().filter(|h| !self.rules.contains_key(&h.epoch)).collect::<Vec<_>>() {
-            let guard = Watch { before: failed, since: now, ..Watch::default() };
-            let (ends, heard_until) = self.leases.get(&held.epoch).copied().unwrap_or((0, 0));
-            let (asked, spare) = Default::default();
-            let rule = Rule { drill: held.drill.clone(), ends, heard_until, asked, spare, guard };
+            let guard = GuardState { failed_before: failed, window_start: now, ..GuardState::default() };
+            let (ends_at, lease_until) = self.leases.get(&held.epoch).copied().unwrap_or((0, 0));
+            let (waiting, unused_grants) = Default::default();
+            let rule =
+                Rule { drill: held.drill.clone(), ends_at, lease_until, waiting, unused_grants, guard };
             self.rules.insert(held.epoch, rule);
         }
-        free
+        released
     }
 
-    /// The drills that still run, and how long they have. A word that comes late may only shorten that.
+    /// Applies leases: which drills still run, and for how long. A lease that was delayed can only shorten
+    /// that time.
     pub fn renew_leases(&mut self, now: Micros, leases: &[Lease]) {
         for lease in leases {
-            let ends = now + Micros::from(lease.left_ms) * 1000;
-            let known = self.leases.entry(lease.epoch).or_insert((ends, 0));
-            *known = (ends.min(known.0), now + self.beat_us);
+            let ends_at = now + Micros::from(lease.left_ms) * 1000;
+            let known = self.leases.entry(lease.epoch).or_insert((ends_at, 0));
+            *known = (ends_at.min(known.0), now + self.beat_us);
             if let Some(rule) = self.rules.get_mut(&lease.epoch) {
-                (rule.ends, rule.heard_until) = *known;
+                (rule.ends_at, rule.lease_until) = *known;
             }
         }
     }
 
-    pub fn decide(&mut self, now: Micros, m: &DrilledRequest) -> DrillDecision {
-        let found = self.rules.iter_mut().find(|(_, rule)| rule.acts(now) && rule.matches(m));
+    /// Decides whether a request gets a fault, goes on without one, or waits for a grant.
+    pub fn decide(&mut self, now: Micros, request: &DrilledRequest) -> DrillDecision {
+        let found = self.rules.iter_mut().find(|(_, rule)| rule.is_active(now) && rule.matches(request));
         let Some((epoch, rule)) = found else { return DrillDecision::Pass };
         let epoch = *epoch;
-        self.callers.insert(m.id, epoch);
-        if !drawn(m.attempt, epoch, rule.drill.share) {
+        self.drilled.insert(request.id, epoch);
+        if !in_share(request.attempt, epoch, rule.drill.share) {
             return DrillDecision::Pass;
         }
-        let account = self.accounts.entry(epoch).or_insert(Account { first: 1, ..Account::default() });
-        if account.untold.len() >= MOST_UNTOLD {
+        let queue = self.queues.entry(epoch).or_insert(ReportQueue { first: 1, ..ReportQueue::default() });
+        if queue.unconfirmed.len() >= MAX_UNCONFIRMED {
             return DrillDecision::Pass;
         }
-        let attempt = String::from_utf8_lossy(m.attempt).into_owned();
+        let attempt = String::from_utf8_lossy(request.attempt).into_owned();
         if rule.drill.count.is_none() {
             return self
-                .meet(m.id, epoch, None, Some(attempt))
+                .inject(request.id, epoch, None, Some(attempt))
                 .map_or(DrillDecision::Pass, DrillDecision::Inject);
         }
-        if let Some(grant) = rule.spare.pop() {
-            let met = self.meet(m.id, epoch, Some(grant), Some(attempt));
-            return met.map_or(DrillDecision::Pass, DrillDecision::Inject);
+        if let Some(grant) = rule.unused_grants.pop() {
+            let fault = self.inject(request.id, epoch, Some(grant), Some(attempt));
+            return fault.map_or(DrillDecision::Pass, DrillDecision::Inject);
         }
-        let number = account.say(Said::Ask(attempt));
-        rule.asked.insert(number, Some(m.id));
-        DrillDecision::Hold(now + HOLD_US.min(m.left_us / HOLD_PART))
+        let number = queue.push(Said::Ask(attempt));
+        rule.waiting.insert(number, Some(request.id));
+        DrillDecision::Hold(now + MAX_HOLD_US.min(request.left_us / MAX_HOLD_DIVISOR))
     }
 
-    /// Notes that a request meets its fault. `attempt`: as it was not told when it was asked for.
-    fn meet(
+    /// Injects the drill's fault into a request. `attempt`: its name, unless the request for a grant has
+    /// named it.
+    fn inject(
         &mut self,
         id: u64,
         epoch: Rev,
         grant: Option<u64>,
         attempt: Option<String>,
     ) -> Option<InjectedFault> {
-        let (rule, account) = (self.rules.get(&epoch)?, self.accounts.get_mut(&epoch)?);
-        self.met.insert(id);
-        account.say(Said::Met { attempt: attempt.unwrap_or_default(), grant });
+        let (rule, queue) = (self.rules.get(&epoch)?, self.queues.get_mut(&epoch)?);
+        self.injected.insert(id);
+        queue.push(Said::Met { attempt: attempt.unwrap_or_default(), grant });
         Some(InjectedFault { epoch, fault: rule.drill.fault.clone() })
     }
 
-    /// A held request goes on, or has gone: its grant, should it come, is another's.
+    /// A waiting request goes on without a grant or is gone; if its grant still comes, another request uses
+    /// it.
     pub fn stop_waiting(&mut self, id: u64) {
-        for waits in self.rules.values_mut().flat_map(|r| r.asked.values_mut()) {
-            waits.take_if(|w| *w == id);
+        for waiting_id in self.rules.values_mut().flat_map(|r| r.waiting.values_mut()) {
+            waiting_id.take_if(|w| *w == id);
         }
     }
 
-    /// It was answered as it would have been without the drill.
+    /// The request was answered as it would have been without the drill.
     pub fn mark_uninjected(&mut self, id: u64) {
-        self.met.remove(&id);
+        self.injected.remove(&id);
     }
 
+    /// Drops all that is kept of a request.
     pub fn forget(&mut self, id: u64) {
         self.stop_waiting(id);
-        self.callers.remove(&id);
-        self.met.remove(&id);
+        self.drilled.remove(&id);
+        self.injected.remove(&id);
     }
 
-    /// A request was answered. Others' failures, and the caller's real ones, may end a drill.
+    /// Counts an answer. Failures of other callers, and failures of the drilled caller that aren't injected,
+    /// can end a drill.
     pub fn record_answer(&mut self, now: Micros, id: u64, status: u16) {
         let failed = matches!(status, 408 | 429) || status >= 500;
-        let of = self.callers.remove(&id);
-        let real = !self.met.remove(&id);
+        let drill_of_caller = self.drilled.remove(&id);
+        let real = !self.injected.remove(&id);
         for (epoch, rule) in &mut self.rules {
-            let (watch, bound) = (&mut rule.guard, rule.drill.guard);
-            if of == Some(*epoch) {
-                watch.real += u32::from(failed && real);
-            } else if of.is_none() {
-                if now > watch.since + WINDOW_US {
-                    (watch.since, watch.asked, watch.failed) = (now, 0, 0);
+            let (guard, bound) = (&mut rule.guard, rule.drill.guard);
+            if drill_of_caller == Some(*epoch) {
+                guard.real += u32::from(failed && real);
+            } else if drill_of_caller.is_none() {
+                if now > guard.window_start + GUARD_WINDOW_US {
+                    (guard.window_start, guard.asked, guard.failed) = (now, 0, 0);
                 }
-                (watch.asked, watch.failed) = (watch.asked + 1, watch.failed + u32::from(failed));
+                (guard.asked, guard.failed) = (guard.asked + 1, guard.failed + u32::from(failed));
             }
-            let part = watch.failed * 1000 / watch.asked.max(1);
+            let failed_per_thousand = guard.failed * 1000 / guard.asked.max(1);
             let why = match () {
-                _ if watch.tripped => continue,
-                _ if watch.real >= bound.real => format!("{} real failures of the caller", watch.real),
-                _ if watch.failed >= FEWEST && part > watch.before + bound.others => {
-                    format!("{part} in a thousand of others failed, {} before", watch.before)
+                _ if guard.tripped => continue,
+                _ if guard.real >= bound.real => format!("{} real failures of the caller", guard.real),
+                _ if guard.failed >= MIN_GUARD_FAILURES
+                    && failed_per_thousand > guard.failed_before + bound.others =>
+                {
+                    format!(
+                        "{failed_per_thousand} of 1000 requests of other callers failed, {} before",
+                        guard.failed_before
+                    )
                 }
                 _ => continue,
             };
-            watch.tripped = true;
-            let account = self.accounts.entry(*epoch).or_insert(Account { first: 1, ..Account::default() });
-            account.say(Said::Guard(why));
+            guard.tripped = true;
+            let queue =
+                self.queues.entry(*epoch).or_insert(ReportQueue { first: 1, ..ReportQueue::default() });
+            queue.push(Said::Guard(why));
         }
     }
 
-    /// What is to be told now.
+    /// The reports that are to go out now.
     pub fn due_reports(&mut self, now: Micros) -> Vec<Rows> {
         let mut rows = Vec::new();
-        for (epoch, account) in &mut self.accounts {
-            let due = account.urgent || now >= account.told_at + AGAIN_US;
-            if !account.untold.is_empty() && due {
-                (account.told_at, account.urgent) = (now, false);
-                let said = account.untold.iter().cloned().collect();
-                rows.push(Rows { epoch: *epoch, ip: self.ip, life: self.life, first: account.first, said });
+        for (epoch, queue) in &mut self.queues {
+            let due = queue.urgent || now >= queue.sent_at + RESEND_US;
+            if !queue.unconfirmed.is_empty() && due {
+                (queue.sent_at, queue.urgent) = (now, false);
+                let said = queue.unconfirmed.iter().cloned().collect();
+                rows.push(Rows { epoch: *epoch, ip: self.ip, life: self.life, first: queue.first, said });
             }
         }
         rows
     }
 
     pub fn wake_at(&self) -> Micros {
-        let due = self.accounts.values().filter(|a| !a.untold.is_empty());
-        due.map(|a| if a.urgent { 0 } else { a.told_at + AGAIN_US }).min().unwrap_or(Micros::MAX)
+        let due = self.queues.values().filter(|a| !a.unconfirmed.is_empty());
+        due.map(|a| if a.urgent { 0 } else { a.sent_at + RESEND_US }).min().unwrap_or(Micros::MAX)
     }
 }
 
 impl Rule {
-    fn acts(&self, now: Micros) -> bool {
-        now < self.ends.min(self.heard_until) && !self.guard.tripped
+    /// Whether it may inject faults now: its lease is valid, and its guard has not tripped.
+    fn is_active(&self, now: Micros) -> bool {
+        now < self.ends_at.min(self.lease_until) && !self.guard.tripped
     }
 
-    fn matches(&self, m: &DrilledRequest) -> bool {
+    fn matches(&self, request: &DrilledRequest) -> bool {
         let c = &self.drill.caller;
-        let is = |want: &Option<String>, found: Option<&str>| want.is_none() || want.as_deref() == found;
-        let key = || m.key.map(key_name);
+        let matches_or_any =
+            |want: &Option<String>, found: Option<&str>| want.is_none() || want.as_deref() == found;
+        let key = || request.key.map(key_name);
         let header = |(name, value): &(String, String)| {
-            let lines = m.head.split(|b| *b == b'\n').filter_map(|l| std::str::from_utf8(l).ok());
+            let lines = request.head.split(|b| *b == b'\n').filter_map(|l| std::str::from_utf8(l).ok());
             let mut pairs = lines.filter_map(|l| l.split_once(':'));
             pairs.any(|(n, v)| n.trim().eq_ignore_ascii_case(name) && v.trim() == value)
         };
-        is(&c.tenant, m.tenant)
-            && is(&c.route, Some(m.route))
+        matches_or_any(&c.tenant, request.tenant)
+            && matches_or_any(&c.route, Some(request.route))
             && (c.key.is_none() || c.key == key())
             && c.header.as_ref().is_none_or(header)
     }
 }
 
-/// Whether an attempt is of the share: by its own name, so no chance of others is used up.
-fn drawn(attempt: &[u8], epoch: Rev, share: u32) -> bool {
+/// Whether an attempt belongs to the drilled share. It is derived from the attempt's name, so that no random
+/// numbers that other decisions use are consumed.
+fn in_share(attempt: &[u8], epoch: Rev, share: u32) -> bool {
     xxh3_64_with_seed(attempt, epoch) % 1_000_000 < u64::from(share)
 }
--- a/crates/proxy/tests/drill.rs
+++ b/crates/proxy/tests/drill.rs
@@ -1,5 +1,5 @@
-//! A rehearsed fault at a proxy: whom it meets, what it makes of the answer, that the decisions hear nothing of it, and when
-//! it is over.
+//! Tests of drills at a proxy: whom a fault hits, how it changes the answer, that the decisions don't learn
+//! of it, and when it ends.
 
 mod common;
 
@@ -10,38 +10,38 @@
 use proxy::front::{Input, Output, Reached};
 use settings::drill::Drill;
 
-/// For the tenant of k1, which has no limit.
-fn start(proxy: &mut Proxy, name: &str, fault: &str, rest: &str) -> u64 {
+/// Starts a drill for the tenant of key k1, which has no quota.
+fn start(proxy: &mut Proxy, name: &str, fault: &str, more_fields: &str) -> u64 {
     let body = format!(
-        r#"{{"caller":{{"tenant_name":"reed"}},"fault":{{"fault_kind":{fault}}},{rest}"duration_ms":60000,
+        r#"{{"caller":{{"tenant_name":"reed"}},"fault":{{"fault_kind":{fault}}},{more_fields}"duration_ms":60000,
         "asked_by":"a","reason":"b"}}"#
     );
     let drill = Drill::read(name, body.as_bytes()).expect("a drill");
     proxy.learn(Command::Drill(DrillChange::Start(Box::new(drill))));
     let epoch = proxy.rev;
-    lease(proxy, epoch, 60_000);
+    send_lease(proxy, epoch, 60_000);
     epoch
 }
 
-fn lease(proxy: &mut Proxy, epoch: u64, left_ms: u32) {
+fn send_lease(proxy: &mut Proxy, epoch: u64, left_ms: u32) {
     let now = proxy.now;
     proxy.tell(Input::Leases(vec![Lease { epoch, left_ms }], now));
 }
 
-fn rows(proxy: &mut Proxy) -> Vec<Rows> {
+fn due_reports(proxy: &mut Proxy) -> Vec<Rows> {
     let now = proxy.now;
     proxy.front.drill_rows(now)
 }
 
-/// What it has said is in the log.
-fn land(proxy: &mut Proxy) -> Vec<Said> {
-    let rows = rows(proxy);
+/// Applies the pending reports to the agreed state, and returns them.
+fn confirm_reports(proxy: &mut Proxy) -> Vec<Said> {
+    let rows = due_reports(proxy);
     proxy.learn(Command::Drill(DrillChange::Rows(rows.clone())));
     rows.into_iter().flat_map(|r| r.said).collect()
 }
 
 #[test]
-fn what_is_never_to_go_out_does_not_and_only_the_caller_meets_it() {
+fn a_fault_before_sending_keeps_the_request_from_servers_and_hits_only_the_drilled_caller() {
     for (fault, status) in [(r#""refused""#, Some(503)), (r#""no_server""#, Some(503)), (r#""closed""#, None)]
     {
         let mut proxy = Proxy::with(&[("n", "north-a")]);
@@ -51,14 +51,14 @@
         assert!(status.is_none() || proxy.says_when());
         assert_eq!(proxy.out.iter().any(|o| matches!(o, Output::Close(_))), status.is_none());
         proxy.ask("/put/", Some("k3"));
-        assert!(proxy.sent().is_some(), "another's");
+        assert!(proxy.sent().is_some(), "another caller");
         proxy.ask("/put/", Some("no such key"));
         assert_eq!(proxy.status(), Some(401));
     }
 }
 
 #[test]
-fn what_ran_is_never_answered_by_a_promise_nor_sent_again() {
+fn a_request_that_ran_is_never_answered_as_not_run_nor_retried() {
     let mut proxy = Proxy::with(&[("n", "north-a"), ("m", "north-a")]);
     start(&mut proxy, "x", r#""lost""#, "");
     for path in ["/put/", "/get/"] {
@@ -66,7 +66,7 @@
         proxy.served(id, 0, 200, false);
         assert_eq!((proxy.status(), proxy.sent().is_none()), (Some(502), true), "{path}");
     }
-    // A server that says that it did not run it is believed: no rehearsal hides a real fault.
+    // A server that says it did not run the request is believed: a drill must not hide a real fault.
     let id = proxy.ask("/put/", Some("k1"));
     proxy.served(id, 0, 503, true);
     assert!(proxy.sent().is_some(), "the other server has room");
@@ -97,26 +97,26 @@
     assert!(proxy.status().is_none() && proxy.out.iter().any(|o| matches!(o, Output::Cut(_, _))));
 }
 
-/// The same requests of others go to the same servers, whatever the drilled caller's met meanwhile.
+/// Requests of other callers go to the same servers, whatever faults the drilled caller gets.
 #[test]
-fn the_decisions_hear_nothing_of_a_rehearsal() {
-    let play = |drilled: bool| {
+fn the_decisions_are_not_affected_by_a_drill() {
+    let destinations = |drilled: bool| {
         let mut proxy = Proxy::with(&[("n", "north-a"), ("m", "north-a"), ("l", "north-b")]);
         if drilled {
             start(&mut proxy, "x", r#""lost""#, "");
         }
-        let mut went = Vec::new();
+        let mut servers = Vec::new();
         for n in 0..60 {
             let key = if n % 3 == 0 { "k1" } else { "k3" };
             let id = proxy.ask("/get/", Some(key));
-            went.push(proxy.goes_to().map(str::to_string));
+            servers.push(proxy.goes_to().map(str::to_string));
             proxy.now += 20_000;
             proxy.served(id, 0, 200, false);
         }
-        went
+        servers
     };
-    assert_eq!(play(true), play(false));
-    // One unreachable server: never sent there, and no worse in anybody's eyes.
+    assert_eq!(destinations(true), destinations(false));
+    // A server that a drill makes unreachable gets nothing from the caller, and its rating doesn't suffer.
     let mut proxy = Proxy::with(&[("n", "north-a")]);
     start(&mut proxy, "y", r#""unreachable","server_id":"n""#, "");
     for _ in 0..20 {
@@ -128,51 +128,51 @@
 }
 
 #[test]
-fn a_counted_fault_waits_for_its_grant_and_one_that_comes_late_is_the_next_requests() {
+fn a_counted_fault_waits_for_its_grant_and_a_late_grant_goes_to_the_next_request() {
     let mut proxy = Proxy::with(&[("n", "north-a")]);
     start(&mut proxy, "x", r#""refused""#, r#""count":2,"#);
     proxy.ask("/get/", Some("k1"));
-    assert!(proxy.out.is_empty(), "held back");
-    assert_eq!(land(&mut proxy), [Said::Ask("name".into())]);
+    assert!(proxy.out.is_empty(), "waits for a grant");
+    assert_eq!(confirm_reports(&mut proxy), [Said::Ask("name".into())]);
     assert_eq!(proxy.status(), Some(503), "granted");
-    // Nobody answers: it goes on without.
+    // No grant arrives: the request goes on without a fault.
     proxy.ask("/get/", Some("k1"));
     proxy.now += 400_000;
     proxy.tell(Input::Tick);
     assert!(proxy.sent().is_some());
-    let said = land(&mut proxy);
+    let said = confirm_reports(&mut proxy);
     assert!(matches!(&said[..], [Said::Met { grant: Some(1), .. }, Said::Ask(_)]), "{said:?}");
     proxy.ask("/get/", Some("k1"));
     assert_eq!(proxy.status(), Some(503), "by the late grant, without asking");
     proxy.now += SECOND;
-    assert!(matches!(&land(&mut proxy)[..], [Said::Met { grant: Some(3), .. }]));
+    assert!(matches!(&confirm_reports(&mut proxy)[..], [Said::Met { grant: Some(3), .. }]));
     proxy.ask("/get/", Some("k1"));
     assert!(proxy.sent().is_some(), "the count is used up");
-    assert!(rows(&mut proxy).is_empty());
+    assert!(due_reports(&mut proxy).is_empty());
 }
 
 #[test]
-fn a_rule_lapses_without_news_and_a_late_word_does_not_make_it_longer() {
+fn a_drill_lapses_without_a_lease_and_a_delayed_lease_does_not_extend_it() {
     let mut proxy = Proxy::with(&[("n", "north-a")]);
     let epoch = start(&mut proxy, "x", r#""refused""#, "");
-    let mut meets = |us: u64, left: Option<u32>| {
+    let mut gets_fault = |us: u64, left: Option<u32>| {
         proxy.now += us;
         if let Some(left_ms) = left {
-            lease(&mut proxy, epoch, left_ms);
+            send_lease(&mut proxy, epoch, left_ms);
         }
         proxy.ask("/get/", Some("k1"));
         proxy.status() == Some(503)
     };
-    assert!(meets(900_000, None));
-    assert!(!meets(200_000, None), "a beat without a word");
-    assert!(meets(0, Some(58_000)));
-    assert!(meets(500_000, Some(400)));
-    assert!(!meets(450_000, Some(58_000)), "held up on its way");
-    // A drill of which no lease has come does not act.
+    assert!(gets_fault(900_000, None));
+    assert!(!gets_fault(200_000, None), "no lease for a heartbeat period");
+    assert!(gets_fault(0, Some(58_000)));
+    assert!(gets_fault(500_000, Some(400)));
+    assert!(!gets_fault(450_000, Some(58_000)), "a delayed lease");
+    // A drill that was stopped does nothing, even if a lease for it still arrives.
     let mut proxy = Proxy::with(&[("n", "north-a")]);
     let epoch = start(&mut proxy, "x", r#""refused""#, "");
     proxy.learn(Command::Drill(DrillChange::Stop { name: "x".into(), epoch: None, why: "stopped".into() }));
-    lease(&mut proxy, epoch, 50_000);
+    send_lease(&mut proxy, epoch, 50_000);
     proxy.ask("/get/", Some("k1"));
     assert!(proxy.sent().is_some(), "stopped");
 }
@@ -185,7 +185,7 @@
         let id = proxy.ask("/put/", Some("k1"));
         proxy.broken(id, 0, Reached::MayHaveRun);
     }
-    let said = land(&mut proxy);
+    let said = confirm_reports(&mut proxy);
     assert!(said.iter().any(|s| matches!(s, Said::Guard(why) if why.contains("2 real"))), "{said:?}");
     assert_eq!(proxy.front.copy.state.drills.running().count(), 0);
 }
