--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts at a proxy: how many requests go to which version at each stage, and what is told of them.
+//! Tests of rollouts at a proxy: how many requests go to which version in each stage, and what is reported.
 
 mod common;
 
@@ -10,16 +10,16 @@
 
 const SHARE: f64 = 0.08;
 
-fn runs(id: &str, version: &str) -> Command {
+fn reports_version(id: &str, version: &str) -> Command {
     Command::Servers(vec![ServerChange::Runs { id: id.into(), version: version.into() }])
 }
 
-/// Four servers of the old version and four of the new one, of which a rollout has begun.
-fn rolling() -> Proxy {
+/// Four servers of the old version and four of the new one, with a rollout that has started.
+fn with_rollout() -> Proxy {
     let all = ["o1", "o2", "o3", "o4", "n1", "n2", "n3", "n4"].map(|id| (id, "north-a"));
     let mut proxy = Proxy::with(&all);
     for (id, _) in all {
-        proxy.learn(runs(id, if id.starts_with('o') { "v1" } else { "v2" }));
+        proxy.learn(reports_version(id, if id.starts_with('o') { "v1" } else { "v2" }));
     }
     let order = Order { service: "heron".into(), target_version: "v2".into(), term_ms: 10_000 };
     proxy.learn(Command::Rollout(RolloutChange::Start { order, after: None }));
@@ -32,7 +32,7 @@
     proxy.learn(Command::Rollout(RolloutChange::Advance { service, epoch, to, reason }));
 }
 
-/// Of so many requests, one after the other, those that went to the new version.
+/// Sends requests one after the other; returns how many went to the new version.
 fn sent_to_new(proxy: &mut Proxy, requests: u32) -> u32 {
     let mut new = 0;
     for _ in 0..requests {
@@ -44,10 +44,10 @@
     new
 }
 
-/// Guards against a bad version that gets as many requests as its servers would bear.
+/// Guards against a bad version getting as many requests as its servers can handle.
 #[test]
 fn a_version_on_trial_gets_its_share_of_this_proxys_requests_and_never_more() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     let (mut asked, mut new) = (0, 0);
     for _ in 0..50 {
         asked += 20;
@@ -59,7 +59,7 @@
 
 #[test]
 fn each_stage_sends_where_it_should() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     advance(&mut proxy, Stage::Partial);
     let up = |proxy: &Proxy, side: char| proxy.up().iter().filter(|id| id.starts_with(side)).count();
     assert_eq!((up(&proxy, 'o'), up(&proxy, 'n')), (4, 1), "a quarter of the new ones");
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_reverted_version_gets_nothing_also_where_no_other_serves() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     advance(&mut proxy, Stage::Reverted);
     assert_eq!(sent_to_new(&mut proxy, 200), 0);
     for id in ["o1", "o2", "o3", "o4"] {
@@ -84,7 +84,7 @@
 
 #[test]
 fn old_servers_serve_on_where_the_new_ones_are_gone_before_it_is_completed() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     advance(&mut proxy, Stage::Whole);
     for id in ["n1", "n2", "n3", "n4"] {
         proxy.learn(Command::Servers(vec![ServerChange::Gone { id: id.into(), said: true }]));
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_further_try_of_a_request_that_failed_on_trial_goes_to_the_old_version() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     let mut failed = 0;
     for _ in 0..200 {
         let id = proxy.ask("/get/a", Some("k1"));
@@ -113,8 +113,8 @@
 }
 
 #[test]
-fn what_came_of_both_versions_is_told_and_what_is_still_out() {
-    let mut proxy = rolling();
+fn outcomes_of_both_versions_and_attempts_in_flight_are_reported() {
+    let mut proxy = with_rollout();
     let (mut served, mut failed) = (0, 0);
     for _ in 0..105 {
         let id = proxy.ask("/get/a", Some("k1"));
@@ -142,24 +142,25 @@
     assert!(proxy.front.tallies(proxy.now).is_empty(), "it has ended");
 }
 
-/// Guards against a margin that is given out anew to each life of a proxy, so that restarts in series add up.
+/// Guards against giving the margin to each run of a proxy, which would add up over repeated restarts.
 #[test]
 fn a_part_of_the_margin_goes_to_proxies_that_ran_before_the_rollout_alone() {
     let exposure = Exposure::from_settings(Some(0.1), Some(50.0));
-    for (ran_us, reserved) in [(20 * SECOND, 11), (SECOND, 0)] {
+    for (uptime_us, reserved) in [(20 * SECOND, 11), (SECOND, 0)] {
         let ip = node(1, "north-a").ip;
         let mut rollouts = Rollouts::new(ip, 7, exposure, SECOND, 0);
-        let proxy = rolling();
-        rollouts.apply_state(ran_us, &proxy.front.copy.state.rollouts, 2, |_| Some(0));
+        let proxy = with_rollout();
+        rollouts.apply_state(uptime_us, &proxy.front.copy.state.rollouts, 2, |_| Some(0));
         let granted = (0..100).filter(|_| rollouts.reserve(0, 7)).count();
         assert_eq!(granted, reserved, "of 25 for two proxies, one of them left for other routes");
     }
 }
 
-/// Guards against a version that is bad on a route of which little is asked, and promoted by the answers of the others.
+/// Guards against promoting a version that fails on a rarely used route because of the answers of other
+/// routes.
 #[test]
 fn a_route_that_is_little_used_is_on_trial_as_often_as_it_may_be() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     let mut rare = [0, 0];
     for n in 0..1000 {
         let path = if n % 20 == 0 { "/load/a" } else { "/get/a" };
@@ -174,11 +175,11 @@
     assert!(rare[1] >= 20 && rare[0] >= 25, "at the old version and at the new one: {rare:?}");
 }
 
-/// Guards against proxies that make their list anew for each of hundreds of servers that start beside the old ones, and serve
-/// nobody meanwhile.
+/// Guards against rebuilding the list for each of hundreds of servers that start beside the old ones, which
+/// keeps a proxy from serving requests meanwhile.
 #[test]
 fn servers_that_come_in_a_row_while_a_rollout_runs_are_listed_together_and_those_that_leave_at_once() {
-    let mut proxy = rolling();
+    let mut proxy = with_rollout();
     proxy.now += SECOND;
     proxy.learn(server(20, "n20", "heron", "north-a", 0));
     let listed = proxy.ids.len();
