--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -1,155 +1,173 @@
-//! What this proxy does for each tenant, and the part of the tenants' quotas that follows from the meter's readings.
+//! Counts what this proxy does for each tenant, and derives this proxy's share of the tenants' quotas from
+//! the readings of the registries' meter.
 //!
-//! The even share over all proxies is what a proxy has while the meter is silent. While it speaks, a proxy's share is
-//! the larger of the even one and its part of what is wanted everywhere, scaled so that all shares come to the whole.
+//! While the meter is silent a proxy has the even share over all proxies. Otherwise its share is the larger
+//! of the even one and its part of the total demand, scaled so that all shares add up to the quota.
 //!
-//! Readings are late. So each proxy keeps an account of its even share, and may be ahead of it only by its part of the
-//! leeway and by what a reading has granted it, until a later reading tells that this was seen. With nobody to talk to,
-//! what all have sent ahead is a sum that was bounded before, and is paid back out of the even shares.
+//! Readings are late. So each proxy keeps a balance of its even share. It may run ahead of that share only
+//! by its part of the leeway and by what a reading has granted, until a later reading covers what was sent
+//! ahead. If all contact is lost, the sum that all proxies have sent ahead is therefore bounded, and it is
+//! paid back out of the even shares.
 //!
-//! In a flood nothing is forgiven and nothing more is sent ahead: each proxy earns its scaled share, and what it sent ahead
-//! before the flood was read is paid back first. So what all send comes to the quota, and to what was ahead when the flood
-//! was read.
+//! A flood is a time in which a tenant wants more than its quota. During a flood nothing sent ahead is
+//! forgiven and nothing more is sent ahead: each proxy earns its scaled share, and first pays back what it
+//! sent ahead before the flood was read. So all proxies together send the quota, plus what they were ahead
+//! when the flood was read.
 
 use crate::routing_view::EvenShare;
 use cluster::Micros;
 use cluster::talk::{Reading, Use};
 
-/// A reading holds for so many times the time between two reports, counted from when it was made.
-const HOLD: Micros = 3;
-/// What a reading grants above the even share may be sent ahead for this part of the time between two reports.
-const GRANTED: f64 = 0.5;
-/// Weight of the time since the last report in the moving rates.
-const LEARN: f64 = 0.5;
-/// Readings are in thousandths, which must not make one more of a whole number.
-const ROUNDED: f64 = 0.999;
-/// So many requests beyond what was last reported are told ahead of time.
-const JUMP: f64 = 4.0;
-/// A tenant floods that uses this part of its quota and wants more than it by that factor.
-const NEAR: f64 = 0.65;
-const FLOODED: f64 = 1.0;
-/// So many times the time between two reports pass after a flood before anything is forgiven: readings waver.
-const UNFORGIVEN: Micros = 6;
-/// In a flood this part of the share is earned: the rest pays back what all sent ahead before it was read.
-const EARNED: f64 = 0.92;
+/// A reading is valid for this many report periods from when it was made.
+const READING_VALIDITY_PERIODS: Micros = 3;
+/// What a reading grants above the even share may be sent ahead for this fraction of a report period.
+const GRANT_PERIODS: f64 = 0.5;
+/// Weight of a full report period in the moving averages of the rates.
+const SMOOTHING: f64 = 0.5;
+/// Readings come in thousandths; the factor keeps their rounding from turning a whole number into the next
+/// one.
+const ROUNDING_TOLERANCE: f64 = 0.999;
+/// A report goes out early if the requests since the last one exceed twice the expected number by this many.
+const EARLY_REPORT_EXCESS: f64 = 4.0;
+/// A tenant is in a flood if it uses more than this fraction of its quota and wants more than the quota
+/// times [`FLOOD_WANTED_FACTOR`].
+const FLOOD_USED_FRACTION: f64 = 0.65;
+/// See [`FLOOD_USED_FRACTION`].
+const FLOOD_WANTED_FACTOR: f64 = 1.0;
+/// Nothing is forgiven for this many report periods after a flood, because readings fluctuate.
+const UNFORGIVING_PERIODS: Micros = 6;
+/// During a flood a proxy earns this fraction of its share; the rest pays back what all proxies sent ahead
+/// before the flood was read.
+const FLOOD_SHARE_FRACTION: f64 = 0.92;
 
 #[derive(Clone, Default)]
-struct Tenant {
+struct TenantState {
+    /// Requests since the last report: those that arrived, and those that were sent on.
     asked: u32,
     sent: u32,
+    /// Moving averages of both, per second.
     wanted: f64,
     used: f64,
-    /// One over the share, and when the reading that it is of was made.
+    /// One divided by this proxy's share of the quota, and when the reading that says so was made.
     spread: f64,
-    made_at: Option<Micros>,
-    /// More is wanted than the quota brings, and until when nothing is forgiven for that.
+    reading_made_at: Option<Micros>,
+    /// The last reading reported a flood; and until when nothing is forgiven because of it.
     flooded: bool,
-    unforgiven_until: Micros,
-    /// What is left of the even share here, less what was sent ahead of it, and what of that is not told yet.
-    own: f64,
-    own_at: Micros,
-    untold: f64,
-    /// All that may be sent ahead is; until the next reading.
-    spent: bool,
+    unforgiving_until: Micros,
+    /// What is left of this proxy's share, negative by what was sent ahead of it; and the part of what was
+    /// sent ahead that isn't reported yet.
+    balance: f64,
+    balance_at: Micros,
+    unreported_ahead: f64,
+    /// All that may be sent ahead has been sent, until the next reading.
+    exhausted: bool,
 }
 
-impl Tenant {
-    /// What is left of this proxy's share now. In a flood the scaled share counts, which may be less than the even one.
-    fn earned(&self, now: Micros, even: EvenShare, nodes: usize, flooded: bool) -> f64 {
-        let scaled = if flooded { EARNED * nodes as f64 / self.spread.max(1.0) } else { 1.0 };
-        let passed_s = now.saturating_sub(self.own_at) as f64 / 1e6;
-        let most = if flooded { even.burst.max(1.0) } else { even.burst };
-        (self.own + even.rate * scaled * passed_s).min(most)
+impl TenantState {
+    /// What is left of this proxy's share now. During a flood it grows by the scaled share, which may be
+    /// less than the even one.
+    fn balance_now(&self, now: Micros, even: EvenShare, nodes: usize, flooded: bool) -> f64 {
+        let scaled = if flooded { FLOOD_SHARE_FRACTION * nodes as f64 / self.spread.max(1.0) } else { 1.0 };
+        let passed_s = now.saturating_sub(self.balance_at) as f64 / 1e6;
+        let max_balance = if flooded { even.burst.max(1.0) } else { even.burst };
+        (self.balance + even.rate * scaled * passed_s).min(max_balance)
     }
 }
 
-/// What a tenant's quota brings a second, and this proxy's even part of its burst.
+/// A tenant's quota in requests per second, and this proxy's even part of its burst.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
     pub rate: f64,
     pub burst: f64,
 }
 
+/// Usage and quota shares at this proxy, by plan; also used with the numbers of bookings instead of plans.
 pub struct Tenants {
-    every_us: Micros,
-    told_at: Micros,
-    /// By the number of the plan.
-    all: Vec<Tenant>,
+    report_period_us: Micros,
+    reported_at: Micros,
+    /// Indexed by plan number.
+    by_plan: Vec<TenantState>,
     rng: fastrand::Rng,
+    /// The next report should go out at once, because the demand for a tenant rises quickly.
     pub report_early: bool,
 }
 
 impl Tenants {
-    /// `every_us`: how often a report goes out. `seed`: of the chance by which proxies begin in turn.
-    pub fn new(every_us: Micros, seed: u64) -> Tenants {
+    /// `report_period_us`: the time between two reports. `seed`: for the random order in which proxies start
+    /// sending in a flood.
+    pub fn new(report_period_us: Micros, seed: u64) -> Tenants {
         let rng = fastrand::Rng::with_seed(seed);
-        Tenants { every_us, told_at: 0, all: Vec::new(), rng, report_early: false }
+        Tenants { report_period_us, reported_at: 0, by_plan: Vec::new(), rng, report_early: false }
     }
 
-    fn of(&mut self, plan: usize) -> &mut Tenant {
-        if self.all.len() <= plan {
-            self.all.resize(plan + 1, Tenant::default());
+    fn state_mut(&mut self, plan: usize) -> &mut TenantState {
+        if self.by_plan.len() <= plan {
+            self.by_plan.resize(plan + 1, TenantState::default());
         }
-        &mut self.all[plan]
+        &mut self.by_plan[plan]
     }
 
+    /// Counts a request that arrived, whether or not it is sent on.
     pub fn record_request(&mut self, plan: usize) {
-        let every_s = self.every_us as f64 / 1e6;
-        let t = self.of(plan);
+        let report_period_s = self.report_period_us as f64 / 1e6;
+        let t = self.state_mut(plan);
         t.asked += 1;
-        let jumps = f64::from(t.asked) > 2.0 * t.wanted * every_s + JUMP;
-        self.report_early |= plan > 0 && jumps;
+        let rises = f64::from(t.asked) > 2.0 * t.wanted * report_period_s + EARLY_REPORT_EXCESS;
+        self.report_early |= plan > 0 && rises;
     }
 
-    /// One is sent on of what no quota binds.
-    pub fn record_sent(&mut self, number: usize) {
-        self.of(number).sent += 1;
+    /// Counts a request that is sent on, without charging it to a quota.
+    pub fn record_sent(&mut self, plan: usize) {
+        self.state_mut(plan).sent += 1;
     }
 
-    /// True if that was the last that may be sent here ahead of the even share.
+    /// Charges a request that is sent on. Returns true if it was the last one that may be sent ahead of the
+    /// even share.
     pub fn spend(&mut self, now: Micros, plan: usize, even: EvenShare, nodes: usize) -> bool {
         let granted = (1.0 / f64::from(self.spread(now, plan, nodes)) - 1.0 / nodes.max(1) as f64).max(0.0);
-        let granted = granted * even.rate * nodes as f64 * GRANTED * self.every_us as f64 / 1e6;
+        let granted = granted * even.rate * nodes as f64 * GRANT_PERIODS * self.report_period_us as f64 / 1e6;
         let (ahead, flooded) = (even.ahead + granted, self.is_flooded(now, plan));
         self.record_sent(plan);
-        let t = self.of(plan);
+        let t = self.state_mut(plan);
         if plan == 0 || even.rate <= 0.0 {
             return false;
         }
-        t.own = t.earned(now, even, nodes, flooded) - 1.0;
-        t.own_at = now;
-        t.untold += (-t.own).clamp(0.0, 1.0);
-        let spent = t.own - 1.0 < -ahead;
-        t.spent |= spent;
-        spent
+        t.balance = t.balance_now(now, even, nodes, flooded) - 1.0;
+        t.balance_at = now;
+        t.unreported_ahead += (-t.balance).clamp(0.0, 1.0);
+        let exhausted = t.balance - 1.0 < -ahead;
+        t.exhausted |= exhausted;
+        exhausted
     }
 
-    /// Whether one more may be sent on by what is earned here: in a flood, what was sent ahead is paid back first.
+    /// Whether the balance allows another request. Outside a flood it always does; during one, what was sent
+    /// ahead must be paid back first.
     pub fn may_send(&self, now: Micros, plan: usize, even: EvenShare, nodes: usize) -> bool {
         if plan == 0 || even.rate <= 0.0 {
             return true;
         }
-        let Some(t) = self.all.get(plan) else { return true };
-        // Where many have just begun anew, readings tell for a moment that a flood is over that is not.
-        let floods = self.is_flooded(now, plan) || now < t.unforgiven_until;
-        !floods || t.earned(now, even, nodes, true) >= 1.0
+        let Some(t) = self.by_plan.get(plan) else { return true };
+        // Just after many proxies have restarted, readings can report the end of a flood too early.
+        let flooded = self.is_flooded(now, plan) || now < t.unforgiving_until;
+        !flooded || t.balance_now(now, even, nodes, true) >= 1.0
     }
 
-    /// The last reading, if it still holds, tells of a flood.
+    /// Whether the last reading is still valid and reports a flood.
     fn is_flooded(&self, now: Micros, plan: usize) -> bool {
-        self.lately_read(now, plan).is_some_and(|t| t.flooded)
+        self.with_valid_reading(now, plan).is_some_and(|t| t.flooded)
     }
 
-    /// What the next report tells, each under its `key`; counts from there on anew.
+    /// Returns the usage since the last report, each tenant under its `key`, and begins to count anew.
     pub fn take_report(&mut self, now: Micros, key: impl Fn(usize) -> u32) -> Vec<Use> {
-        let passed = (now.saturating_sub(self.told_at)).max(1) as f64;
-        self.told_at = now;
-        let (seconds, learn) = (passed / 1e6, (LEARN * passed / self.every_us as f64).min(1.0));
+        let passed_us = (now.saturating_sub(self.reported_at)).max(1) as f64;
+        self.reported_at = now;
+        let (seconds, weight) =
+            (passed_us / 1e6, (SMOOTHING * passed_us / self.report_period_us as f64).min(1.0));
         let mut uses = Vec::new();
-        for (plan, t) in self.all.iter_mut().enumerate().skip(1) {
-            t.wanted += (f64::from(t.asked) / seconds - t.wanted) * learn;
-            t.used += (f64::from(t.sent) / seconds - t.used) * learn;
-            (t.asked, t.sent, t.untold) = (0, 0, 0.0);
+        for (plan, t) in self.by_plan.iter_mut().enumerate().skip(1) {
+            t.wanted += (f64::from(t.asked) / seconds - t.wanted) * weight;
+            t.used += (f64::from(t.sent) / seconds - t.used) * weight;
+            (t.asked, t.sent, t.unreported_ahead) = (0, 0, 0.0);
             let (wanted, used) = ((t.wanted * 1000.0) as u32, (t.used * 1000.0) as u32);
             if wanted > 10 {
                 uses.push(Use { tenant: key(plan), wanted, used });
@@ -158,8 +176,8 @@
         uses
     }
 
-    /// Takes a reading that was made then. Tells what part of the rate counts as used: in a flood what is wanted, as what is used says only
-    /// how well it is held back.
+    /// Applies a reading that was made at `made_at`. Returns the fraction of the rate that counts as used:
+    /// in a flood the demand, because usage then only shows how well it is held back.
     pub fn apply_reading(
         &mut self,
         now: Micros,
@@ -169,50 +187,53 @@
         nodes: usize,
         quota: Quota,
     ) -> f64 {
-        let (every_us, Quota { rate, burst }) = (self.every_us, quota);
-        self.of(plan);
-        let t = &mut self.all[plan];
+        let (report_period_us, Quota { rate, burst }) = (self.report_period_us, quota);
+        self.state_mut(plan);
+        let t = &mut self.by_plan[plan];
         let wanted = f64::from(reading.wanted) / 1000.0;
-        let part = (t.wanted / wanted.max(0.001)).max(1.0 / nodes.max(1) as f64).min(1.0);
-        t.spread = f64::from(reading.shares) / 1000.0 / part;
-        t.made_at = Some(made_at);
+        let demand_share = (t.wanted / wanted.max(0.001)).max(1.0 / nodes.max(1) as f64).min(1.0);
+        t.spread = f64::from(reading.shares) / 1000.0 / demand_share;
+        t.reading_made_at = Some(made_at);
         let used = f64::from(reading.used) / 1000.0 / rate;
-        t.flooded = used > NEAR && wanted > FLOODED * rate;
-        t.spent = false;
+        t.flooded = used > FLOOD_USED_FRACTION && wanted > FLOOD_WANTED_FACTOR * rate;
+        t.exhausted = false;
         if t.flooded {
-            if now >= t.unforgiven_until && burst < 1.0 {
-                // Many proxies with less than a request each: they send in turn, and not all their first at once.
-                t.own = t.own.min(0.0) + self.rng.f64();
+            if now >= t.unforgiving_until && burst < 1.0 {
+                // Many proxies have less than one request each: random balances make them send one after the
+                // other, instead of all sending their first request at once.
+                t.balance = t.balance.min(0.0) + self.rng.f64();
             }
-            t.unforgiven_until = now + UNFORGIVEN * every_us;
-        } else if now >= t.unforgiven_until {
-            t.own = t.own.max(-t.untold);
+            t.unforgiving_until = now + UNFORGIVING_PERIODS * report_period_us;
+        } else if now >= t.unforgiving_until {
+            t.balance = t.balance.max(-t.unreported_ahead);
         }
         if t.flooded { used.max(wanted / rate) } else { used }
     }
 
-    /// Over how many proxies a tenant's quota is spread, as this one sees it.
+    /// The number of proxies over which a tenant's quota is divided, as this proxy sees it; one divided by
+    /// its share.
     pub fn spread(&self, now: Micros, plan: usize, nodes: usize) -> u32 {
         let nodes = nodes.max(1) as u32;
-        self.read_of(now, plan).map_or(nodes, |t| ((t.spread * ROUNDED).ceil() as u32).clamp(1, nodes))
+        self.with_usable_reading(now, plan)
+            .map_or(nodes, |t| ((t.spread * ROUNDING_TOLERANCE).ceil() as u32).clamp(1, nodes))
     }
 
-    /// What a request draws from the bucket here. In a flood all is spent that is granted, so the even shares of those
-    /// that want less must not come on top of the others': they too are scaled, which the spread cannot tell, as it is
-    /// no larger than the number of proxies.
+    /// What a request costs of this proxy's share. In a flood the granted shares use up the quota, so the
+    /// even shares of proxies that want less must not be added to them: they are scaled down, too. The
+    /// spread can't express that, because it is no larger than the number of proxies.
     pub fn request_cost(&self, now: Micros, plan: usize, nodes: usize) -> f64 {
-        let flood = self.read_of(now, plan).filter(|t| t.flooded);
+        let flood = self.with_usable_reading(now, plan).filter(|t| t.flooded);
         flood.map_or(1.0, |t| (t.spread / nodes.max(1) as f64).max(1.0))
     }
 
-    /// A tenant of which the meter has spoken lately.
-    fn lately_read(&self, now: Micros, plan: usize) -> Option<&Tenant> {
-        let hold = HOLD * self.every_us;
-        self.all.get(plan).filter(|t| t.made_at.is_some_and(|at| now <= at + hold))
+    /// The tenant's state, if it has a valid reading.
+    fn with_valid_reading(&self, now: Micros, plan: usize) -> Option<&TenantState> {
+        let validity_us = READING_VALIDITY_PERIODS * self.report_period_us;
+        self.by_plan.get(plan).filter(|t| t.reading_made_at.is_some_and(|at| now <= at + validity_us))
     }
 
-    /// The same, while not all that may be sent ahead is sent.
-    fn read_of(&self, now: Micros, plan: usize) -> Option<&Tenant> {
-        self.lately_read(now, plan).filter(|t| !t.spent)
+    /// The same, unless all that may be sent ahead has been sent.
+    fn with_usable_reading(&self, now: Micros, plan: usize) -> Option<&TenantState> {
+        self.with_valid_reading(now, plan).filter(|t| !t.exhausted)
     }
 }
