--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,5 +1,5 @@
-//! What the proxy speaks with servers: the lines that end a request's head, whose an answer is, and what is known of
-//! an attempt that has ended.
+//! The proxy's side of HTTP to servers: the headers that it adds per attempt, which attempt an answer
+//! belongs to, and how an attempt ended.
 
 use crate::front::{End, Reached, Served};
 use net::Micros;
@@ -8,11 +8,13 @@
 use net::pool::{self, Ended, Heard, Job, Wire};
 use std::sync::Arc;
 
+/// Implements [`Wire`] for connections to servers.
 pub struct ServerWire<T> {
-    tell: T,
+    on_end: T,
 }
 
-/// What goes with an attempt: the client's name for it and the life of a server that may run it.
+/// What goes with an attempt: the name that the client gave it, and the id of the server instance that may
+/// run it.
 pub struct AttemptInfo {
     pub name: Arc<[u8]>,
     pub instance: Arc<str>,
@@ -20,14 +22,16 @@
 
 /// What is read out of an answer's head.
 pub struct AnswerInfo {
+    /// The server says that it did not run the request.
     not_run: bool,
+    /// The headers that are passed on to the client.
     headers: Vec<u8>,
 }
 
 impl<T: Fn(u64, u32, End) + Send + Sync + 'static> ServerWire<T> {
-    /// How each attempt ends goes to `tell`.
-    pub fn new(tell: T) -> ServerWire<T> {
-        ServerWire { tell }
+    /// Reports the end of each attempt to `on_end`.
+    pub fn new(on_end: T) -> ServerWire<T> {
+        ServerWire { on_end }
     }
 }
 
@@ -43,7 +47,7 @@
     }
 
     fn heard(&self, job: &Job<AttemptInfo>, head: &http::Response) -> Heard<AnswerInfo> {
-        // Every answer names its attempt; one that names none is nobody's.
+        // Every answer names its attempt; one without a name can't be attributed to an attempt.
         let name = http::header(head.headers, "X-Attempt-Id");
         if name.is_none_or(|n| n.trim_ascii() != &*job.note.name) {
             return Heard::Surplus;
@@ -60,11 +64,11 @@
                 End::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
             }
             Err(why) => {
-                log::info!("{}.{}: {why}", ended.id, ended.attempt);
+                log::info!("attempt {}.{} failed: {why}", ended.id, ended.attempt);
                 End::Broken { reached: reached(&why) }
             }
         };
-        (self.tell)(ended.id, ended.attempt, end);
+        (self.on_end)(ended.id, ended.attempt, end);
     }
 }
 
