--- a/crates/proxy/src/drill.rs
+++ b/crates/proxy/src/drill.rs
@@ -80,7 +80,7 @@
 /// A running drill.
 struct Rule {
     drill: Drill,
-    /// The earliest end that was heard of, and the time until which the last lease holds.
+    /// The earliest end that a lease has given, and the time until which the last lease holds.
     ends_at: Micros,
     lease_until: Micros,
     /// The requests that wait for a grant, by the number of the report that asked for it; None: the request
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -117,7 +117,7 @@
 }
 
 impl Exposure {
-    /// Stays below the bounds of the settings; see [`EXPOSURE_FRACTION`] and [`MARGIN_FRACTION`].
+    /// Stays below the bounds of the settings; see `EXPOSURE_FRACTION` and `MARGIN_FRACTION`.
     pub fn from_settings(exposure_share: Option<f64>, exposure_margin: Option<f64>) -> Exposure {
         Exposure {
             share: EXPOSURE_FRACTION * exposure_share.unwrap_or(DEFAULT_EXPOSURE).clamp(0.0, 1.0),
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -157,7 +157,7 @@
         self.with_valid_reading(now, plan).is_some_and(|t| t.flooded)
     }
 
-    /// Returns the usage since the last report, each tenant under its `key`, and begins to count anew.
+    /// Returns the usage since the last report, each tenant under its `key`, and resets the counters.
     pub fn take_report(&mut self, now: Micros, key: impl Fn(usize) -> u32) -> Vec<Use> {
         let passed_us = (now.saturating_sub(self.reported_at)).max(1) as f64;
         self.reported_at = now;
