--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -4,17 +4,17 @@
 //! What a status says is kept apart from how it came about: 429 and 503 promise that a request has not run and will not,
 //! so they go out only where that is known or where the request may run more than once anyway.
 
-use crate::book::{Book, List, Peer, Place, REGION};
-use crate::cramp::{Cramp, Shown};
-use crate::drill::{Drills, Meeting, Met, Verdict};
-use crate::rollout::{Ended, Placed, Rollouts, Side};
+use crate::drill::{DrillDecision, DrilledRequest, Drills, InjectedFault};
+use crate::reservations::{ReservationStatus, Reservations};
+use crate::rollout::{AttemptEnd, RolloutServer, Rollouts, Side};
+use crate::routing_view::{Peer, ProxySettings, RoutingView, SAME_REGION, ServerList};
 use crate::tenants::{Quota, Tenants};
 use cluster::copy::{Copy, Took};
 use cluster::drill::Rows;
 use cluster::rollout::Tally;
 use cluster::state::{Command, ServerChange, State};
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
-use curlewfront::{Action, AttemptEnd, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
+use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
 use net::limits::Held;
 use net::pool::Passage;
 use net::timeouts::Timeouts;
@@ -100,7 +100,7 @@
     Rehearsed {
         id: u64,
         name: Arc<[u8]>,
-        met: Met,
+        met: InjectedFault,
     },
     /// A server that is new, or that may or may not get more from now on.
     Server {
@@ -153,7 +153,7 @@
     sent_at: Micros,
     out: bool,
     /// Where its server was placed, if a rollout of its service ran.
-    placed: Option<Placed>,
+    placed: Option<RolloutServer>,
 }
 
 struct Open {
@@ -191,11 +191,11 @@
     now: Micros,
     pub copy: Copy,
     config: Option<(Arc<Config>, Index)>,
-    book: Book,
+    book: RoutingView,
     decider: Decider,
     rng: fastrand::Rng,
     beat_us: Micros,
-    place: Place,
+    place: ProxySettings,
     open: HashMap<u64, Open>,
     timeouts: Timeouts,
     timer: Option<Micros>,
@@ -205,7 +205,7 @@
     relist_at: Option<Micros>,
     listed_at: Micros,
     tenants: Tenants,
-    cramp: Cramp,
+    cramp: Reservations,
     /// What is done under each booking, and what of them was last told to the decisions.
     booked: Tenants,
     holds: Vec<Hold>,
@@ -216,7 +216,7 @@
     back: VecDeque<(u64, u32, Outcome)>,
     rollouts: Rollouts,
     /// Servers of services with a running rollout.
-    placed: BTreeMap<u64, Placed>,
+    placed: BTreeMap<u64, RolloutServer>,
     drills: Drills,
     /// Requests that wait for a grant: since when, and until when.
     held: BTreeMap<u64, (Ask, Micros, Micros)>,
@@ -226,8 +226,8 @@
 }
 
 impl Front {
-    pub fn new(place: Place, beat_us: Micros, seed: u64, now: Micros) -> Front {
-        let book = Book::new(place.clone());
+    pub fn new(place: ProxySettings, beat_us: Micros, seed: u64, now: Micros) -> Front {
+        let book = RoutingView::new(place.clone());
         let settings = book.settings(1, 0, beat_us);
         Front {
             now,
@@ -242,7 +242,7 @@
             drills: Drills::new(place.ip, seed, beat_us),
             held: BTreeMap::new(),
             late: BTreeMap::new(),
-            cramp: Cramp::new(place.ip, place.times),
+            cramp: Reservations::new(place.ip, place.booking_times),
             booked: Tenants::new(beat_us / 3, seed),
             holds: Vec::new(),
             look_at: Micros::MAX,
@@ -304,17 +304,17 @@
             Input::Ended { id, attempt, end } => self.ended(id, attempt, end, out),
             Input::News(news) => self.news(news, out),
             Input::Meter(readings, made_at) => self.meter(&readings, made_at, out),
-            Input::Leases(leases, made_at) => self.drills.lease(made_at, &leases),
+            Input::Leases(leases, made_at) => self.drills.renew_leases(made_at, &leases),
         }
         self.settle(out);
         self.due(out);
-        if !self.drills.idle() {
+        if !self.drills.is_idle() {
             for output in &out[before..] {
                 if let Output::Answer(id, Answer { status, .. })
                 | Output::Cut(id, Answer { status, .. })
                 | Output::Slow(id, Answer { status, .. }, _) = output
                 {
-                    self.drills.answered(self.now, *id, *status);
+                    self.drills.record_answer(self.now, *id, *status);
                 }
             }
         }
@@ -324,11 +324,11 @@
 
     fn asked(&mut self, ask: Ask, out: &mut Vec<Output>) {
         self.counts.asked += 1;
-        let verdict = if self.drills.idle() { Verdict::Pass } else { self.rehearses(&ask) };
+        let verdict = if self.drills.is_idle() { DrillDecision::Pass } else { self.rehearses(&ask) };
         match verdict {
-            Verdict::Pass => self.take(ask, None, out),
-            Verdict::Hold(until) => _ = self.held.insert(ask.id, (ask, self.now, until)),
-            Verdict::Meets(met) => self.strike(ask, met, out),
+            DrillDecision::Pass => self.take(ask, None, out),
+            DrillDecision::Hold(until) => _ = self.held.insert(ask.id, (ask, self.now, until)),
+            DrillDecision::Inject(met) => self.strike(ask, met, out),
         }
     }
 
@@ -342,12 +342,12 @@
 
     fn admit(&mut self, ask: Ask, rehearsed: Option<Fault>) -> Result<NewRequest, Answer> {
         let (route, tenant) = whose(&self.config, &ask)?;
-        let mut zones =
-            self.book.within(&route.homes) & tenant.map_or(u64::MAX, |t| self.book.within(&t.homes));
+        let mut zones = self.book.zones_in_regions(&route.homes)
+            & tenant.map_or(u64::MAX, |t| self.book.zones_in_regions(&t.homes));
         if let Some(Fault::UnreachableZone(zone)) = &rehearsed {
-            zones &= self.book.without(zone);
+            zones &= self.book.zones_except(zone);
         }
-        zones = self.book.without_trials(zones);
+        zones = self.book.regular_zones(zones);
         if zones == 0 {
             return Err(Answer::later(503, "no region may serve this", RETRY_US));
         }
@@ -356,19 +356,19 @@
         };
         let left_us = ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000);
         let plan = tenant.map_or(0, |t| self.book.plan(&t.name));
-        self.tenants.asked(plan);
+        self.tenants.record_request(plan);
         let nodes = self.copy.state.nodes.len();
-        if !self.tenants.may_send(self.now, plan, self.book.even(plan, nodes), nodes) {
+        if !self.tenants.may_send(self.now, plan, self.book.even_share(plan, nodes), nodes) {
             self.counts.refused += 1;
             return Err(Answer::later(429, "beyond the quota", RETRY_US));
         }
         let booking = self.come_under(tenant, route, service);
         if booking > 0 {
-            self.booked.asked(booking as usize);
+            self.booked.record_request(booking as usize);
         }
         let route_key = tenant_key(&route.name);
         let reserved = rehearsed.is_none() && self.rollouts.reserve(service, route_key);
-        let trials = if reserved { self.book.trials_in(zones) } else { 0 };
+        let trials = if reserved { self.book.trial_zones(zones) } else { 0 };
         let open = Open {
             name: ask.name.clone(),
             passage: Arc::new(Passage { head: head(&ask, tenant), body: ask.body }),
@@ -391,7 +391,7 @@
             customer: plan as u64,
             left_us,
             spread: self.tenants.spread(self.now, plan, nodes),
-            units: self.tenants.draws(self.now, plan, nodes),
+            units: self.tenants.request_cost(self.now, plan, nodes),
             service,
             zones: zones | trials,
             retry_zones: zones,
@@ -408,10 +408,10 @@
     /// worth.
     fn reach(&self, route: &Route, service: u32, zones: u64) -> u32 {
         let here = |(p, up): &(Peer, bool)| {
-            *up && p.service == service && p.near <= REGION && (p.zone >= 64 || zones & 1 << p.zone != 0)
+            *up && p.service == service && p.near <= SAME_REGION && (p.zone >= 64 || zones & 1 << p.zone != 0)
         };
         if route.kind == Kind::Download && self.peers.values().any(here) {
-            self.book.reach(service, REGION)
+            self.book.reach(service, SAME_REGION)
         } else {
             u32::MAX
         }
@@ -425,7 +425,7 @@
         if let (Some(placed), None) = (one.placed, &open.rehearsed)
             && let Some(ended) = tells_of_version(&end, taken_us, placed.cold_until > one.sent_at)
         {
-            self.rollouts.ended(placed, open.route, ended);
+            self.rollouts.record_end(placed, open.route, ended);
         }
         let outcome = match end {
             End::Broken { reached: Reached::NeverRan } => Outcome::ConnectFailed,
@@ -459,7 +459,7 @@
         };
         if wrong {
             self.counts.misled += 1;
-            self.book.mislead(server);
+            self.book.mark_misdirected(server);
             self.relist_at = Some(self.now);
         }
         self.back.push_back((id, attempt, outcome));
@@ -474,7 +474,16 @@
             one.out = false;
             let (server, latency_us) = (one.server, self.now.saturating_sub(one.sent_at));
             let (used, final_units) = (None, None);
-            let back = AttemptEnd { id, attempt, server, outcome, latency_us, closed, used, final_units };
+            let back = curlewfront::AttemptEnd {
+                id,
+                attempt,
+                server,
+                outcome,
+                latency_us,
+                closed,
+                used,
+                final_units,
+            };
             self.decide(Event::AttemptEnded(back), out);
             self.forget(id);
         }
@@ -527,13 +536,13 @@
         let until = self.now.saturating_add(timeout_us).min(open.until);
         if attempt == 0 {
             let (plan, nodes) = (open.plan, self.copy.state.nodes.len());
-            if self.tenants.sent(self.now, plan, self.book.even(plan, nodes), nodes) {
+            if self.tenants.spend(self.now, plan, self.book.even_share(plan, nodes), nodes) {
                 self.spent.push(plan);
             }
             if open.booking > 0 {
-                self.booked.passes(open.booking as usize);
+                self.booked.record_sent(open.booking as usize);
             }
-            self.rollouts.sent(open.service, open.route);
+            self.rollouts.record_first_try(open.service, open.route);
         }
         let placed = self.placed.get(&server).copied();
         if std::mem::take(&mut open.reserved) && !placed.is_some_and(|p| p.trial) {
@@ -555,7 +564,7 @@
         if !open.closed {
             open.closed = true;
             if open.rehearsed.take().is_some_and(|f| f.ran() == Ran::AsServed) {
-                self.drills.real(id);
+                self.drills.mark_uninjected(id);
             }
             out.push(Output::Answer(id, answer));
         }
@@ -568,7 +577,7 @@
         let late = (outcome == Outcome::TimedOut).then_some(one.sent_at);
         open.timed_out |= late.is_some();
         if let (Some(placed), Some(_), None) = (one.placed, late, &open.rehearsed) {
-            self.rollouts.ended(placed, open.route, Ended::Failed);
+            self.rollouts.record_end(placed, open.route, AttemptEnd::Failed);
         }
         out.push(Output::GiveUp { id, attempt, server: one.server, late });
         self.back.push_back((id, attempt, outcome));
@@ -605,7 +614,7 @@
         }
         let waited = self.held.iter().filter(|(_, (_, _, until))| *until <= self.now);
         for id in waited.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.drills.late(id);
+            self.drills.stop_waiting(id);
             self.go_on(id, None, out);
         }
         if self.look_at <= self.now {
@@ -616,10 +625,10 @@
     // ---- drills ----
 
     /// What becomes of a request whose caller may be drilled.
-    fn rehearses(&mut self, ask: &Ask) -> Verdict {
+    fn rehearses(&mut self, ask: &Ask) -> DrillDecision {
         // What no configuration allows is refused as ever.
-        let Ok((route, tenant)) = whose(&self.config, ask) else { return Verdict::Pass };
-        let meeting = Meeting {
+        let Ok((route, tenant)) = whose(&self.config, ask) else { return DrillDecision::Pass };
+        let meeting = DrilledRequest {
             id: ask.id,
             tenant: tenant.map(|t| t.name.as_str()),
             key: ask.key.as_deref(),
@@ -628,11 +637,11 @@
             attempt: &ask.name,
             left_us: ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000),
         };
-        self.drills.meets(self.now, &meeting)
+        self.drills.decide(self.now, &meeting)
     }
 
     /// A request that waited for a grant goes on.
-    fn go_on(&mut self, id: u64, met: Option<Met>, out: &mut Vec<Output>) {
+    fn go_on(&mut self, id: u64, met: Option<InjectedFault>, out: &mut Vec<Output>) {
         let Some((mut ask, since, _)) = self.held.remove(&id) else { return };
         ask.left_us = ask.left_us.map(|left| left.saturating_sub(self.now - since));
         match met {
@@ -641,7 +650,7 @@
         }
     }
 
-    fn strike(&mut self, ask: Ask, met: Met, out: &mut Vec<Output>) {
+    fn strike(&mut self, ask: Ask, met: InjectedFault, out: &mut Vec<Output>) {
         let (id, fault) = (ask.id, met.fault.clone());
         out.push(Output::Rehearsed { id, name: ask.name.clone(), met });
         match fault {
@@ -650,7 +659,7 @@
                 out.push(Output::Answer(id, Answer::later(503, "no server is known", RETRY_US)))
             }
             Fault::Closed => {
-                self.drills.gone(id);
+                self.drills.forget(id);
                 out.push(Output::Close(id));
             }
             fault => self.take(ask, Some(fault), out),
@@ -660,12 +669,12 @@
     fn leave_drills(&mut self, id: u64) {
         self.held.remove(&id);
         self.late.retain(|(_, of), _| *of != id);
-        self.drills.gone(id);
+        self.drills.forget(id);
     }
 
     /// What is to go up the tree of drills, if anything.
     pub fn drill_rows(&mut self, now: Micros) -> Vec<Rows> {
-        if self.drills.idle() { Vec::new() } else { self.drills.tells(now) }
+        if self.drills.is_idle() { Vec::new() } else { self.drills.due_reports(now) }
     }
 
     /// What is to go up the tree of rollouts, if anything.
@@ -673,7 +682,7 @@
         // By how servers are placed now: what was sent before the order counts too.
         let (open, placed) = (&self.open, &self.placed);
         let old_out = |epoch| {
-            let of = |p: &Placed| p.epoch == epoch && p.side == Side::Old;
+            let of = |p: &RolloutServer| p.epoch == epoch && p.side == Side::Old;
             let old = |t: &&Try| t.out && placed.get(&t.server).is_some_and(of);
             open.values().flat_map(|o| &o.tries).filter(old).count() as u32
         };
@@ -682,12 +691,12 @@
 
     fn learn_drills(&mut self, out: &mut Vec<Output>) {
         let agreed = &self.copy.state.drills;
-        if agreed.0.is_empty() && self.drills.idle() {
+        if agreed.0.is_empty() && self.drills.is_idle() {
             return;
         }
         let c = &self.counts;
         let failed = ((c.refused + c.failed) * 1000 / c.asked.max(1)) as u32;
-        for (id, met) in self.drills.learn(self.now, agreed, failed) {
+        for (id, met) in self.drills.apply_state(self.now, agreed, failed) {
             self.go_on(id, met, out);
         }
     }
@@ -696,25 +705,25 @@
 
     /// What is done here for tenants, for the next report.
     pub fn uses(&mut self, now: Micros) -> Vec<Use> {
-        let mut uses = self.tenants.uses(now, |plan| self.book.key(plan));
+        let mut uses = self.tenants.take_report(now, |plan| self.book.report_key(plan));
         if !self.cramp.is_empty() {
-            uses.extend(self.booked.uses(now, |number| self.cramp.key(number)));
+            uses.extend(self.booked.take_report(now, |number| self.cramp.report_key(number)));
         }
         uses
     }
 
     /// Others should hear soon of what is asked here.
     pub fn hurries(&mut self) -> bool {
-        std::mem::take(&mut self.tenants.hurries) | std::mem::take(&mut self.booked.hurries)
+        std::mem::take(&mut self.tenants.report_early) | std::mem::take(&mut self.booked.report_early)
     }
 
     fn meter(&mut self, readings: &[Reading], made_at: Micros, out: &mut Vec<Output>) {
         let nodes = self.copy.state.nodes.len();
         for (plan, rate) in self.book.quotas() {
-            let key = self.book.key(plan);
+            let key = self.book.report_key(plan);
             if let Some(reading) = readings.iter().find(|r| r.tenant == key) {
-                let quota = Quota { rate, burst: self.book.even(plan, nodes).burst };
-                let used = self.tenants.read(self.now, made_at, plan, reading, nodes, quota);
+                let quota = Quota { rate, burst: self.book.even_share(plan, nodes).burst };
+                let used = self.tenants.apply_reading(self.now, made_at, plan, reading, nodes, quota);
                 self.decide(Event::MeterReading { customer: plan as u64, used }, out);
             }
         }
@@ -749,7 +758,8 @@
             self.settle_in();
         }
         let book = &self.book;
-        self.rollouts.learn(self.now, &self.copy.state.rollouts, among.0, |service| book.service(service));
+        self.rollouts
+            .apply_state(self.now, &self.copy.state.rollouts, among.0, |service| book.service(service));
         let soon = self.listed_at + GATHER_US;
         if adds_servers_alone && !self.rollouts.is_idle() && self.now < soon {
             self.relist_at = Some(self.relist_at.map_or(soon, |at| at.min(soon)));
@@ -772,7 +782,7 @@
                     let one = News::Run { from, to: rev, commands: vec![(rev, command)] };
                     if self.copy.take(self.now, one) == Took::Changed {
                         changed = true;
-                        self.cramp.learn(self.now, &self.copy.state, false);
+                        self.cramp.apply_state(self.now, &self.copy.state, false);
                     }
                     from = rev;
                 }
@@ -783,7 +793,7 @@
                 changed = self.copy.take(self.now, news) == Took::Changed;
                 let any = booked || !self.copy.state.bookings.is_empty();
                 if changed && any {
-                    self.cramp.learn(self.now, &self.copy.state, true);
+                    self.cramp.apply_state(self.now, &self.copy.state, true);
                 }
             }
             News::Run { .. } => changed = self.copy.take(self.now, news) == Took::Changed,
@@ -803,13 +813,13 @@
         }
         let to = route.to.iter().find(|(name, _)| self.book.service(name) == Some(service));
         let to = to.map_or("", |(name, _)| name);
-        self.cramp.booking(self.now, tenant.map(|t| t.name.as_str()), &route.name, to)
+        self.cramp.booking_number(self.now, tenant.map(|t| t.name.as_str()), &route.name, to)
     }
 
     /// When this proxy last held all that was acknowledged, as the feed has it.
     pub fn fresh(&mut self, now: Micros, at: Option<Micros>) {
         self.now = self.now.max(now);
-        if self.cramp.fresh(self.now, at) && !self.cramp.is_empty() {
+        if self.cramp.set_fresh_at(self.now, at) && !self.cramp.is_empty() {
             self.look_at = self.now;
         }
     }
@@ -834,22 +844,22 @@
     /// Holds what this state has of bookings, which no news told of: for baselines that agree on nothing.
     pub fn hold_alone(&mut self, now: Micros, state: &State) {
         self.now = self.now.max(now);
-        self.cramp.learn(self.now, state, false);
+        self.cramp.apply_state(self.now, state, false);
         self.look_at = self.now;
     }
 
     /// What is held of each booking here, for who watches.
-    pub fn bookings(&self) -> BTreeMap<&str, Shown> {
-        self.cramp.show(self.now)
+    pub fn bookings(&self) -> BTreeMap<&str, ReservationStatus> {
+        self.cramp.status(self.now)
     }
 
     /// Sets the decisions by the configuration and by how many proxies there are.
     fn settle_in(&mut self) {
         let (nodes, index) = self.among;
         if let Some((config, _)) = &self.config {
-            self.book.learn(config, nodes);
+            self.book.apply_config(config, nodes);
             let longest = config.routes.iter().map(|r| r.deadline_ms).max().unwrap_or(0);
-            self.cramp.keep(longest * 1000);
+            self.cramp.set_longest_request(longest * 1000);
         }
         let balancers = nodes.max(index + 1) as u32;
         let settings = self.book.settings(balancers, index as u32, self.beat_us);
@@ -858,7 +868,8 @@
     }
 
     fn relist(&mut self, out: &mut Vec<Output>) {
-        let List { entries, peers, placed, changes_at } = self.book.list(self.now, &self.copy.state);
+        let ServerList { entries, peers, rollout_servers: placed, changes_at } =
+            self.book.server_list(self.now, &self.copy.state);
         (self.relist_at, self.listed_at, self.placed) = (changes_at, self.now, placed);
         let gone: Vec<u64> = self.peers.keys().filter(|n| !peers.contains_key(n)).copied().collect();
         for server in gone {
@@ -937,14 +948,14 @@
 }
 
 /// What the end of an attempt says of the version of its server, if anything.
-fn tells_of_version(end: &End, taken_us: Micros, cold: bool) -> Option<Ended> {
+fn tells_of_version(end: &End, taken_us: Micros, cold: bool) -> Option<AttemptEnd> {
     match end {
         End::Broken { reached: Reached::NeverRan } => None,
-        End::Broken { reached: Reached::MayHaveRun } => Some(Ended::Failed),
+        End::Broken { reached: Reached::MayHaveRun } => Some(AttemptEnd::Failed),
         End::Answered(served) => match judge(served) {
-            Outcome::Ok => Some(Ended::Served { taken_us, cold }),
+            Outcome::Ok => Some(AttemptEnd::Served { taken_us, cold }),
             Outcome::Full | Outcome::ConnectFailed => None,
-            _ => Some(Ended::Failed),
+            _ => Some(AttemptEnd::Failed),
         },
     }
 }
@@ -965,7 +976,7 @@
 
 /// One of the route's services by weight, of those that have a server to be sent to.
 fn pick_service(
-    book: &Book,
+    book: &RoutingView,
     peers: &BTreeMap<u64, (Peer, bool)>,
     rng: &mut fastrand::Rng,
     route: &Route,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -10,12 +10,12 @@
 use net::limits::Held;
 use net::pool::{self, Job, Peer};
 use net::room::Room;
-use proxy::book::{Leeway, Place};
-use proxy::cramp::Times;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached};
+use proxy::reservations::BookingTimes;
 use proxy::rollout::Exposure;
-use proxy::servers::{self, Note};
+use proxy::routing_view::{Leeway, ProxySettings};
+use proxy::servers::{self, AttemptInfo};
 use proxy::watch::Watch;
 use runtime::datagram::{self, Datagrams};
 use runtime::link::{self, Event, Line, SILENCE};
@@ -97,13 +97,13 @@
         retry_slack: b.retry_slack.unwrap_or(RETRY.1),
     };
     let (zone, region, zones) = (s.zone.clone(), s.region.clone(), s.zones.clone());
-    let (usual, ms) = (Times::default(), |ms: u64| ms * 1000);
-    let times = Times {
+    let (usual, ms) = (BookingTimes::default(), |ms: u64| ms * 1000);
+    let times = BookingTimes {
         settle_us: b.config_apply_ms.map_or(usual.settle_us, ms),
         hold_us: b.contact_ms.map_or(usual.hold_us, ms),
     };
-    let exposure = Exposure::of(b.exposure_share, b.exposure_margin);
-    let place = Place { ip: s.ip, zone, region, zones, leeway, times, exposure };
+    let exposure = Exposure::from_settings(b.exposure_share, b.exposure_margin);
+    let place = ProxySettings { ip: s.ip, zone, region, zones, leeway, booking_times: times, exposure };
     let node = Node {
         ip: s.ip,
         name: s.name.clone(),
@@ -278,7 +278,7 @@
 }
 
 /// What is spoken with servers; how attempts end comes to the shell.
-type Servers = servers::Servers<Box<dyn Fn(u64, u32, End) + Send + Sync>>;
+type Servers = servers::ServerWire<Box<dyn Fn(u64, u32, End) + Send + Sync>>;
 
 fn tell(inbox: Inbox<Told>) -> Box<dyn Fn(u64, u32, End) + Send + Sync> {
     Box::new(move |id, attempt, end| inbox.post(Told::Ended(id, attempt, end)))
@@ -326,7 +326,7 @@
             match output {
                 front::Output::Send(job) => {
                     let front::Job { id, attempt, server, name, instance, passage, again, until } = job;
-                    let note = Note { name, instance };
+                    let note = AttemptInfo { name, instance };
                     let sent = self
                         .peers
                         .get(&server)
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,5 +1,5 @@
-//! What the proxy speaks with servers: the lines that end a request's head, whose an answer is, and what is known of
-//! an attempt that has ended.
+//! The proxy's side of HTTP to servers: the headers that it adds per attempt, which attempt an answer
+//! belongs to, and how an attempt ended.
 
 use crate::front::{End, Reached, Served};
 use net::Micros;
@@ -8,42 +8,46 @@
 use net::pool::{self, Ended, Heard, Job, Wire};
 use std::sync::Arc;
 
-pub struct Servers<T> {
-    tell: T,
+/// Implements [`Wire`] for connections to servers.
+pub struct ServerWire<T> {
+    on_end: T,
 }
 
-/// What goes with an attempt: the client's name for it and the life of a server that may run it.
-pub struct Note {
+/// What goes with an attempt: the name that the client gave it, and the id of the server instance that may
+/// run it.
+pub struct AttemptInfo {
     pub name: Arc<[u8]>,
     pub instance: Arc<str>,
 }
 
 /// What is read out of an answer's head.
-pub struct Said {
+pub struct AnswerInfo {
+    /// The server says that it did not run the request.
     not_run: bool,
+    /// The headers that are passed on to the client.
     headers: Vec<u8>,
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Servers<T> {
-    /// How each attempt ends goes to `tell`.
-    pub fn new(tell: T) -> Servers<T> {
-        Servers { tell }
+impl<T: Fn(u64, u32, End) + Send + Sync + 'static> ServerWire<T> {
+    /// Reports the end of each attempt to `on_end`.
+    pub fn new(on_end: T) -> ServerWire<T> {
+        ServerWire { on_end }
     }
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for Servers<T> {
-    type Note = Note;
-    type Said = Said;
+impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for ServerWire<T> {
+    type Note = AttemptInfo;
+    type Said = AnswerInfo;
 
-    fn last_lines(&self, job: &Job<Note>, left_us: Micros, out: &mut Vec<u8>) {
+    fn last_lines(&self, job: &Job<AttemptInfo>, left_us: Micros, out: &mut Vec<u8>) {
         let left_ms = (left_us / 1000).max(1);
         out.extend_from_slice(
             format!("X-Time-Left: {left_ms}\r\nX-Expected-Instance: {}\r\n", job.note.instance).as_bytes(),
         );
     }
 
-    fn heard(&self, job: &Job<Note>, head: &http::Response) -> Heard<Said> {
-        // Every answer names its attempt; one that names none is nobody's.
+    fn heard(&self, job: &Job<AttemptInfo>, head: &http::Response) -> Heard<AnswerInfo> {
+        // Every answer names its attempt; one without a name can't be attributed to an attempt.
         let name = http::header(head.headers, "X-Attempt-Id");
         if name.is_none_or(|n| n.trim_ascii() != &*job.note.name) {
             return Heard::Surplus;
@@ -51,20 +55,20 @@
         let mut headers = Vec::new();
         http::pass_on(head.headers, &["X-Not-Executed", "X-Instance-Id", "X-Cold-Time"], &mut headers);
         let not_run = http::header(head.headers, "X-Not-Executed").is_some();
-        Heard::Mine(Said { not_run, headers })
+        Heard::Mine(AnswerInfo { not_run, headers })
     }
 
-    fn ended(&self, ended: Ended<Servers<T>>) {
+    fn ended(&self, ended: Ended<ServerWire<T>>) {
         let end = match ended.outcome {
             Ok(pool::Served { status, said, body }) => {
                 End::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
             }
             Err(why) => {
-                log::info!("{}.{}: {why}", ended.id, ended.attempt);
+                log::info!("attempt {}.{} failed: {why}", ended.id, ended.attempt);
                 End::Broken { reached: reached(&why) }
             }
         };
-        (self.tell)(ended.id, ended.attempt, end);
+        (self.on_end)(ended.id, ended.attempt, end);
     }
 }
 
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -15,14 +15,14 @@
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
-use proxy::servers::{Note, Said, Servers};
+use proxy::servers::{AnswerInfo, AttemptInfo, ServerWire};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
 use tape::Tape;
 
 type Tell = Box<dyn Fn(u64, u32, End) + Send + Sync>;
-type Carried = pool::Job<Note>;
+type Carried = pool::Job<AttemptInfo>;
 
 const BOUNDS: Bounds = Bounds { head: 4096, body: 4096 };
 const ANSWER_US: Micros = 300_000;
@@ -84,19 +84,19 @@
 /// The proxy's reading of answers; `blind`: as if all answers had the name that is awaited, so that what the connection
 /// does by itself must do, as it must where servers name nothing.
 struct Speaker {
-    servers: Servers<Tell>,
+    servers: ServerWire<Tell>,
     blind: bool,
 }
 
 impl Wire for Speaker {
-    type Note = Note;
-    type Said = Said;
+    type Note = AttemptInfo;
+    type Said = AnswerInfo;
 
     fn last_lines(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
         self.servers.last_lines(job, left_us, out);
     }
 
-    fn heard(&self, job: &Carried, head: &Response) -> Heard<Said> {
+    fn heard(&self, job: &Carried, head: &Response) -> Heard<AnswerInfo> {
         let mut headers = head.headers.to_vec();
         if self.blind {
             headers.retain(|h| h.name != "X-Attempt-Id");
@@ -160,7 +160,7 @@
         let all = [("a", "north-a"), ("b", "north-a")];
         World {
             proxy: Proxy::with(&all[..size.servers]),
-            wire: Speaker { servers: Servers::new(tell), blind: size.blind },
+            wire: Speaker { servers: ServerWire::new(tell), blind: size.blind },
             ended,
             conns: Vec::new(),
             requests: BTreeMap::new(),
@@ -197,7 +197,8 @@
             match output {
                 Output::Send(Job { id, attempt, server, name, instance, passage, again, until }) => {
                     let again = again && self.plant != Some(Plant::SameConnectionAgain);
-                    let job = Carried { id, attempt, passage, again, until, note: Note { name, instance } };
+                    let job =
+                        Carried { id, attempt, passage, again, until, note: AttemptInfo { name, instance } };
                     self.send(server, job);
                 }
                 Output::GiveUp { id, attempt, .. } => {
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -5,9 +5,9 @@
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::News;
 use net::limits::Held;
-use proxy::book::{Leeway, Place};
-use proxy::cramp::Times;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
+use proxy::reservations::BookingTimes;
+use proxy::routing_view::{Leeway, ProxySettings};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -78,17 +78,17 @@
     copy
 }
 
-pub fn place(last: u8, zone: &str) -> Place {
+pub fn place(last: u8, zone: &str) -> ProxySettings {
     let n = node(last, zone);
     let zones: BTreeMap<String, String> = ZONES.map(|(z, r)| (z.into(), r.into())).into();
-    Place {
+    ProxySettings {
         ip: n.ip,
         zone: n.zone,
         region: n.region,
         zones,
         leeway: Leeway { retry_ratio: 0.2, retry_slack: 50.0, ..Leeway::default() },
-        times: Times::default(),
-        exposure: proxy::rollout::Exposure::of(None, None),
+        booking_times: BookingTimes::default(),
+        exposure: proxy::rollout::Exposure::from_settings(None, None),
     }
 }
 
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -7,9 +7,9 @@
 use cluster::talk::{Down, Gossip, News, Reading, Up, Usage, Use, tenant_key};
 use miette::{Result, miette};
 use nix::time::{ClockId, clock_gettime};
-use proxy::book::{Leeway, Place};
-use proxy::cramp::Times;
 use proxy::front::{Front, Input};
+use proxy::reservations::BookingTimes;
+use proxy::routing_view::{Leeway, ProxySettings};
 use registry::meter::Meter;
 use registry::presence::Presence;
 use serde::Serialize;
@@ -205,9 +205,17 @@
     let me = node(0);
     let leeway = Leeway { excess: 0.1, margin: 20.0, period_s: 5.0, retry_ratio: 0.2, retry_slack: 60.0 };
     let zones = ZONES.iter().map(|z| (z.0.into(), z.1.into())).collect();
-    let exposure = proxy::rollout::Exposure::of(None, None);
+    let exposure = proxy::rollout::Exposure::from_settings(None, None);
     let (zone, region) = (me.zone, me.region);
-    let place = Place { ip: me.ip, zone, region, zones, leeway, times: Times::default(), exposure };
+    let place = ProxySettings {
+        ip: me.ip,
+        zone,
+        region,
+        zones,
+        leeway,
+        booking_times: BookingTimes::default(),
+        exposure,
+    };
     Front::new(place, BEAT_US, 1, 0)
 }
 
