--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The shell of the proxy: listeners, connections to servers and the link to the news, around `proxy::front` and
+//! The shell of the proxy: listeners, connections to servers and the link to the news, around `proxy::dispatcher` and
 //! `proxy::feed`.
 
 use cluster::Micros;
@@ -12,8 +12,8 @@
 use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
+use proxy::dispatcher::{self, Ask, End, Front, Reached};
 use proxy::feed::{self, Feed};
-use proxy::front::{self, Ask, End, Front, Reached};
 use proxy::rollout::Exposure;
 use proxy::servers::{self, Note};
 use proxy::watch::Watch;
@@ -300,7 +300,7 @@
     room: Arc<Room>,
     shown: Arc<Shown>,
     inbox: Inbox<Told>,
-    out: Vec<front::Output>,
+    out: Vec<dispatcher::Output>,
     news: Vec<feed::Output>,
     door: Arc<Door<Requests>>,
     over: Sender<()>,
@@ -320,12 +320,12 @@
         }
     }
 
-    fn front(&mut self, now: Micros, input: front::Input) {
+    fn front(&mut self, now: Micros, input: dispatcher::Input) {
         self.front.handle(now, input, &mut self.out);
         for output in std::mem::take(&mut self.out) {
             match output {
-                front::Output::Send(job) => {
-                    let front::Job { id, attempt, server, name, instance, passage, again, until } = job;
+                dispatcher::Output::Send(job) => {
+                    let dispatcher::Job { id, attempt, server, name, instance, passage, again, until } = job;
                     let note = Note { name, instance };
                     let sent = self
                         .peers
@@ -336,23 +336,23 @@
                         self.inbox.post(Told::Ended(id, attempt, end));
                     }
                 }
-                front::Output::GiveUp { id, attempt, server, late } => {
+                dispatcher::Output::GiveUp { id, attempt, server, late } => {
                     if let Some(peer) = self.peers.get(&server) {
                         peer.give_up(id, attempt, late);
                     }
                 }
-                front::Output::Answer(id, answer) => self.reply(id, |_| {}, answer),
-                front::Output::Cut(id, answer) => self.reply(id, |a| a.cut = true, answer),
-                front::Output::Slow(id, answer, us) => self.reply(id, |a| a.pace_us = us, answer),
-                front::Output::Close(id) => {
-                    let nothing = front::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
+                dispatcher::Output::Answer(id, answer) => self.reply(id, |_| {}, answer),
+                dispatcher::Output::Cut(id, answer) => self.reply(id, |a| a.cut = true, answer),
+                dispatcher::Output::Slow(id, answer, us) => self.reply(id, |a| a.pace_us = us, answer),
+                dispatcher::Output::Close(id) => {
+                    let nothing = dispatcher::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
                     self.reply(id, |a| a.cut = true, nothing);
                 }
-                front::Output::Rehearsed { name, met, .. } => {
+                dispatcher::Output::Rehearsed { name, met, .. } => {
                     let (epoch, fault) = (met.epoch, met.fault.name());
                     log::info!("drill {epoch}: {} meets {fault}", String::from_utf8_lossy(&name));
                 }
-                front::Output::Server { server, peer, up } => {
+                dispatcher::Output::Server { server, peer, up } => {
                     let settings = self.pool();
                     let (room, wire) = (&self.room, &self.wire);
                     let known = self
@@ -361,7 +361,7 @@
                         .or_insert_with(|| Peer::start(peer.addr, room.clone(), wire.clone(), settings));
                     known.listed(peer.addr, up);
                 }
-                front::Output::Gone { server } => {
+                dispatcher::Output::Gone { server } => {
                     if let Some(peer) = self.peers.remove(&server) {
                         peer.gone();
                     }
@@ -370,9 +370,9 @@
         }
     }
 
-    fn reply(&mut self, id: u64, spoil: impl FnOnce(&mut Answer), answer: front::Answer) {
+    fn reply(&mut self, id: u64, spoil: impl FnOnce(&mut Answer), answer: dispatcher::Answer) {
         if let Some(reply) = self.replies.remove(&id) {
-            let front::Answer { status, headers, body } = answer;
+            let dispatcher::Answer { status, headers, body } = answer;
             let mut answer = Answer::new(status, headers, body);
             spoil(&mut answer);
             reply.send(answer);
@@ -408,14 +408,14 @@
                     self.followers.remove(&link);
                 }
                 feed::Output::Meter(readings, made_at) => {
-                    self.front(now, front::Input::Meter(readings, made_at));
+                    self.front(now, dispatcher::Input::Meter(readings, made_at));
                 }
                 feed::Output::Leases(leases, made_at) => {
-                    self.front(now, front::Input::Leases(leases, made_at));
+                    self.front(now, dispatcher::Input::Leases(leases, made_at));
                 }
                 feed::Output::News(news) => {
                     let version = self.front.copy.state.version();
-                    self.front(now, front::Input::News(news));
+                    self.front(now, dispatcher::Input::News(news));
                     let state = &self.front.copy.state;
                     if state.version() != version {
                         log::info!("version {} is in force, revision {}", state.version(), state.rev);
@@ -490,20 +490,20 @@
     fn take(&mut self, now: Micros, told: Option<Told>) {
         match told {
             None => {
-                self.front(now, front::Input::Tick);
+                self.front(now, dispatcher::Input::Tick);
                 self.watch(now, false);
                 self.feed(now, feed::Input::Tick);
             }
             Some(Told::Asked(ask, reply)) => {
                 self.replies.insert(ask.id, reply);
-                self.front(now, front::Input::Asked(ask));
+                self.front(now, dispatcher::Input::Asked(ask));
             }
             Some(Told::Withdrawn(id)) => {
                 self.replies.remove(&id);
-                self.front(now, front::Input::Withdrawn(id));
+                self.front(now, dispatcher::Input::Withdrawn(id));
             }
             Some(Told::Ended(id, attempt, end)) => {
-                self.front(now, front::Input::Ended { id, attempt, end });
+                self.front(now, dispatcher::Input::Ended { id, attempt, end });
             }
             Some(Told::Link(link, event)) => {
                 let input = match event {
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,7 +1,7 @@
 //! What the proxy speaks with servers: the lines that end a request's head, whose an answer is, and what is known of
 //! an attempt that has ended.
 
-use crate::front::{End, Reached, Served};
+use crate::dispatcher::{End, Reached, Served};
 use net::Micros;
 use net::errors::AttemptError;
 use net::http;
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
-use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, Ask, End, Input, Job, Output, Reached, Served};
 use proxy::servers::{Note, Said, Servers};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
--- a/crates/proxy/tests/book.rs
+++ b/crates/proxy/tests/book.rs
@@ -117,6 +117,6 @@
     assert!(proxy.up().is_empty(), "its own zone's proxy brings it up");
     assert_eq!(proxy.front.wake_at(), SECOND + 500_000);
     proxy.now = proxy.front.wake_at();
-    proxy.tell(proxy::front::Input::Tick);
+    proxy.tell(proxy::dispatcher::Input::Tick);
     assert_eq!(proxy.up(), ["b"]);
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/tests/cramp.rs
+++ b/crates/proxy/tests/cramp.rs
@@ -9,7 +9,7 @@
 use cluster::talk::News;
 use common::*;
 use proxy::cramp::{Cramp, Times};
-use proxy::front::{Front, Input};
+use proxy::dispatcher::{Front, Input};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/proxy/tests/front.rs
+++ b/crates/proxy/tests/dispatcher.rs
@@ -4,7 +4,7 @@
 
 use cluster::talk::News;
 use common::*;
-use proxy::front::{Input, Reached};
+use proxy::dispatcher::{Input, Reached};
 
 #[test]
 fn an_evacuation_shuts_the_servers_of_its_own_zone_though_names_and_numbers_differ_in_order() {
--- a/crates/proxy/tests/drill.rs
+++ b/crates/proxy/tests/drill.rs
@@ -7,7 +7,7 @@
 use cluster::state::Command;
 use cluster::talk::Lease;
 use common::*;
-use proxy::front::{Input, Output, Reached};
+use proxy::dispatcher::{Input, Output, Reached};
 use settings::drill::Drill;
 
 /// For the tenant of k1, which has no limit.
--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -5,7 +5,7 @@
 use cluster::rollout::{Order, RolloutChange, Stage};
 use cluster::state::{Command, ServerChange};
 use common::*;
-use proxy::front::Reached;
+use proxy::dispatcher::Reached;
 use proxy::rollout::{Exposure, Rollouts};
 
 const SHARE: f64 = 0.08;
@@ -187,7 +187,7 @@
         assert_eq!(proxy.ids.len(), listed, "not yet");
     }
     proxy.now += SECOND / 4;
-    proxy.tell(proxy::front::Input::Tick);
+    proxy.tell(proxy::dispatcher::Input::Tick);
     assert_eq!(proxy.ids.len(), listed + 19);
     proxy.learn(Command::Servers(vec![ServerChange::Draining { id: "o1".into() }]));
     assert!(!proxy.up().contains(&"o1"));
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -44,7 +44,7 @@
     Called(Rc<calls::Answer>),
     /// A client's try.
     Ask(u64),
-    Answer(Rc<proxy::front::Answer>),
+    Answer(Rc<proxy::dispatcher::Answer>),
     Work(Rc<Work>),
     Worked(Rc<Worked>),
     End,
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,8 +14,8 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
+use proxy::dispatcher::{self, Ask, End, Front, Reached, Served};
 use proxy::feed::{self, Feed};
-use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::watch::Watch;
 use registry::board::{self, Board, Terms};
 use serde::Serialize;
@@ -609,12 +609,12 @@
                     body: Held::default(),
                 };
                 x.open.insert(conn, number);
-                self.front(n, Some(front::Input::Asked(ask)));
+                self.front(n, Some(dispatcher::Input::Asked(ask)));
             }
             (Kind::Request, Event::Down) => {
                 x.clients.remove(&conn);
                 let open = x.open.remove(&conn).is_some();
-                self.front(n, open.then_some(front::Input::Withdrawn(conn)));
+                self.front(n, open.then_some(dispatcher::Input::Withdrawn(conn)));
             }
             (Kind::Work, Event::Up) => {
                 if let Some(c) = x.work.get_mut(&conn) {
@@ -635,7 +635,7 @@
                     if w.garbled {
                         self.close(conn, Owner::Proxy(n));
                         let end = End::Broken { reached: Reached::MayHaveRun };
-                        let input = front::Input::Ended { id: c.id, attempt: c.attempt, end };
+                        let input = dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end };
                         return self.front(n, Some(input));
                     }
                     match c.surplus {
@@ -646,7 +646,7 @@
                     let (headers, body) = (seal.into_bytes(), Vec::new());
                     let served = Served { status: w.status, not_run: w.not_run, headers, body };
                     let end = End::Answered(served);
-                    self.front(n, Some(front::Input::Ended { id: c.id, attempt: c.attempt, end }));
+                    self.front(n, Some(dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end }));
                 }
             }
             (Kind::Work, Event::Down) => {
@@ -654,19 +654,19 @@
                 if let Some(c) = x.work.remove(&conn) {
                     let reached = if c.sent { Reached::MayHaveRun } else { Reached::NeverRan };
                     let end = End::Broken { reached };
-                    self.front(n, Some(front::Input::Ended { id: c.id, attempt: c.attempt, end }));
+                    self.front(n, Some(dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end }));
                 }
             }
             _ => {}
         }
     }
 
-    fn front(&mut self, n: usize, input: Option<front::Input>) {
+    fn front(&mut self, n: usize, input: Option<dispatcher::Input>) {
         let Some(mut p) = self.proxies[n].take() else { return };
         let me = Owner::Proxy(n);
         self.at_work = Some((me, p.life));
         let now = p.clock(self.now);
-        let mut inputs: VecDeque<front::Input> = input.into_iter().collect();
+        let mut inputs: VecDeque<dispatcher::Input> = input.into_iter().collect();
         let mut out = Vec::new();
         while let Some(input) = inputs.pop_front() {
             p.machine.front.handle(now, input, &mut out);
@@ -733,7 +733,7 @@
             state.apply(now, rev, &Command::Book(change));
         }
         p.machine.front.hold_alone(now, &state);
-        self.front(n, Some(front::Input::Tick));
+        self.front(n, Some(dispatcher::Input::Tick));
     }
 
     /// Notes what is held of bookings, where that has changed.
@@ -757,11 +757,11 @@
         n: usize,
         (life, started): (u64, Micros),
         x: &mut Proxy,
-        output: front::Output,
-    ) -> Option<front::Input> {
+        output: dispatcher::Output,
+    ) -> Option<dispatcher::Input> {
         let me = Owner::Proxy(n);
         match output {
-            front::Output::Send(job) => {
+            dispatcher::Output::Send(job) => {
                 let number: u64 = std::str::from_utf8(&job.name).expect("text").parse().expect("a number");
                 self.record.tries[number as usize].given = true;
                 let work = Rc::new(Work {
@@ -775,7 +775,7 @@
                 });
                 let Some(to) = x.peers.get(&job.server).and_then(|a| self.server_at(*a)) else {
                     let end = End::Broken { reached: Reached::NeverRan };
-                    return Some(front::Input::Ended { id: job.id, attempt: job.attempt, end });
+                    return Some(dispatcher::Input::Ended { id: job.id, attempt: job.attempt, end });
                 };
                 let kept = x.idle.get_mut(&job.server).filter(|_| !job.again).and_then(Vec::pop);
                 let conn = kept.unwrap_or_else(|| self.dial(Kind::Work, me, Owner::Server(to)));
@@ -788,14 +788,14 @@
                     Carried { id, attempt, server, work, sent: kept.is_some(), surplus: false },
                 );
             }
-            front::Output::GiveUp { id, attempt, .. } => {
+            dispatcher::Output::GiveUp { id, attempt, .. } => {
                 let found = x.work.iter().find(|(_, c)| c.id == id && c.attempt == attempt).map(|(c, _)| *c);
                 if let Some(conn) = found {
                     x.work.remove(&conn);
                     self.close(conn, me);
                 }
             }
-            front::Output::Answer(id, answer) => {
+            dispatcher::Output::Answer(id, answer) => {
                 if x.open.remove(&id).is_some() {
                     self.send(id, me, Body::Answer(Rc::new(answer)));
                     if x.asked_at.is_some() {
@@ -805,18 +805,18 @@
                     }
                 }
             }
-            front::Output::Cut(id, _) | front::Output::Close(id) => {
+            dispatcher::Output::Cut(id, _) | dispatcher::Output::Close(id) => {
                 if x.open.remove(&id).is_some() {
                     x.clients.remove(&id);
                     self.close(id, me);
                 }
             }
-            front::Output::Slow(id, answer, us) => {
+            dispatcher::Output::Slow(id, answer, us) => {
                 if x.open.remove(&id).is_some() {
                     self.at(self.now + us, Ev::Slowly(n, life, id, Rc::new(answer)));
                 }
             }
-            front::Output::Rehearsed { name, met, .. } => {
+            dispatcher::Output::Rehearsed { name, met, .. } => {
                 let attempt = std::str::from_utf8(&name).expect("text").parse().expect("a number");
                 let drills = &x.front.copy.state.drills.0;
                 let name = drills.values().find(|h| h.epoch == met.epoch).map(|h| h.drill.name.as_str());
@@ -824,10 +824,10 @@
                 let (at, edge, of) = (self.now, self.host_of(me), of.expect("an operator's drill"));
                 self.record.met.push(record::Met { attempt, at, edge, of });
             }
-            front::Output::Server { server, peer, .. } => {
+            dispatcher::Output::Server { server, peer, .. } => {
                 x.peers.insert(server, peer.addr);
             }
-            front::Output::Gone { server } => {
+            dispatcher::Output::Gone { server } => {
                 x.peers.remove(&server);
                 for conn in x.idle.remove(&server).unwrap_or_default() {
                     self.close(conn, me);
@@ -906,20 +906,20 @@
                         }
                     }
                     feed::Output::Meter(readings, made_at) => {
-                        fronts.push(front::Input::Meter(readings, made_at));
+                        fronts.push(dispatcher::Input::Meter(readings, made_at));
                     }
                     feed::Output::Leases(leases, made_at) => {
                         if self.one_node.is_none_or(|one| one == n) {
-                            fronts.push(front::Input::Leases(leases, made_at));
+                            fronts.push(dispatcher::Input::Leases(leases, made_at));
                         }
                     }
-                    feed::Output::News(news) => fronts.push(front::Input::News(news)),
+                    feed::Output::News(news) => fronts.push(dispatcher::Input::News(news)),
                 }
             }
             self.proxies[n] = Some(p);
             self.at_work = None;
             for input in fronts {
-                let news = matches!(input, front::Input::News(_));
+                let news = matches!(input, dispatcher::Input::News(_));
                 self.front(n, Some(input));
                 if let Some(p) = self.proxies[n].as_mut().filter(|_| news) {
                     let now = p.started;
@@ -961,7 +961,7 @@
 
     /// What the shell does when only time has passed.
     fn turn(&mut self, n: usize) {
-        self.front(n, Some(front::Input::Tick));
+        self.front(n, Some(dispatcher::Input::Tick));
         if let Some(mut p) = self.proxies[n].take() {
             let now = p.clock(self.now);
             self.watch(n, &mut p.machine, now, false);
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -9,7 +9,7 @@
 use nix::time::{ClockId, clock_gettime};
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::front::{Front, Input};
+use proxy::dispatcher::{Front, Input};
 use registry::meter::Meter;
 use registry::presence::Presence;
 use serde::Serialize;
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -61,7 +61,7 @@
     /// A server of a version that was reverted drains.
     Retire(usize),
     /// A rehearsed answer that comes slowly is whole.
-    Slowly(usize, u64, ConnId, Rc<proxy::front::Answer>),
+    Slowly(usize, u64, ConnId, Rc<proxy::dispatcher::Answer>),
 }
 
 pub struct HostAt {
