--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -187,7 +187,7 @@
     pub misled: u64,
 }
 
-pub struct Front {
+pub struct Dispatcher {
     now: Micros,
     pub copy: Copy,
     config: Option<(Arc<Config>, Index)>,
@@ -225,11 +225,11 @@
     pub counts: Counts,
 }
 
-impl Front {
-    pub fn new(place: Place, beat_us: Micros, seed: u64, now: Micros) -> Front {
+impl Dispatcher {
+    pub fn new(place: Place, beat_us: Micros, seed: u64, now: Micros) -> Dispatcher {
         let book = Book::new(place.clone());
         let settings = book.settings(1, 0, beat_us);
-        Front {
+        Dispatcher {
             now,
             copy: Copy::default(),
             config: None,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -12,7 +12,7 @@
 use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{self, Ask, End, Front, Reached};
+use proxy::dispatcher::{self, Ask, Dispatcher, End, Reached};
 use proxy::feed::{self, Feed};
 use proxy::rollout::Exposure;
 use proxy::servers::{self, Note};
@@ -115,7 +115,7 @@
     let (over, ended) = channel();
     let grace_us = (s.bounds.grace_period_s.unwrap_or(GRACE_S) * 1e6) as Micros;
     let shell = Shell {
-        front: Front::new(place, beat_us, start.life, now),
+        front: Dispatcher::new(place, beat_us, start.life, now),
         watch: Watch::new(node.clone(), beat_us / 3, start.life, now),
         datagrams,
         feed: Feed::new(node, s.zones.clone(), start.seeds(), beat_us, start.life, now),
@@ -285,7 +285,7 @@
 }
 
 struct Shell {
-    front: Front,
+    front: Dispatcher,
     feed: Feed,
     watch: Watch,
     datagrams: Datagrams,
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, Ask, Dispatcher, End, Input, Job, Output, Reached, Served};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -95,7 +95,7 @@
 /// A proxy in zone north-a, and what it has been told of servers.
 pub struct Proxy {
     pub now: u64,
-    pub front: Front,
+    pub front: Dispatcher,
     pub rev: u64,
     pub out: Vec<Output>,
     pub ids: BTreeMap<u64, (String, bool)>,
@@ -104,7 +104,7 @@
 
 impl Proxy {
     pub fn new(commands: Vec<Command>) -> Proxy {
-        let (front, ids) = (Front::new(place(1, "north-a"), SECOND, 7, SECOND), BTreeMap::new());
+        let (front, ids) = (Dispatcher::new(place(1, "north-a"), SECOND, 7, SECOND), BTreeMap::new());
         let mut proxy = Proxy { now: SECOND, front, rev: 0, out: Vec::new(), ids, asked: 0 };
         commands.into_iter().for_each(|c| proxy.learn(c));
         proxy
--- a/crates/proxy/tests/cramp.rs
+++ b/crates/proxy/tests/cramp.rs
@@ -9,7 +9,7 @@
 use cluster::talk::News;
 use common::*;
 use proxy::cramp::{Cramp, Times};
-use proxy::dispatcher::{Front, Input};
+use proxy::dispatcher::{Dispatcher, Input};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -180,9 +180,9 @@
     let front = |n: u8| {
         let mut place = place(n, "north-a");
         place.times = TIMES;
-        Front::new(place, SECOND, 1, 0)
+        Dispatcher::new(place, SECOND, 1, 0)
     };
-    let mut proxies: Vec<(Front, u64)> = (1..=3).map(|n| (front(n), 0)).collect();
+    let mut proxies: Vec<(Dispatcher, u64)> = (1..=3).map(|n| (front(n), 0)).collect();
     let mut cut = [0u64; 3];
     let (mut worst, mut most) = (i64::MIN, 0);
     let mut number = 0;
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
-use proxy::dispatcher::{self, Ask, End, Front, Reached, Served};
+use proxy::dispatcher::{self, Ask, Dispatcher, End, Reached, Served};
 use proxy::feed::{self, Feed};
 use proxy::watch::Watch;
 use registry::board::{self, Board, Terms};
@@ -105,7 +105,7 @@
 }
 
 pub struct Proxy {
-    pub front: Front,
+    pub front: Dispatcher,
     feed: Feed,
     watch: Watch,
     /// Links to those who are followed, by the feed's numbers; links of followers.
@@ -262,7 +262,7 @@
                 let node = Node { ip, name, zone: zone.0, region: zone.1, front };
                 let watch = Watch::new(node.clone(), BEAT / 3, life, 0);
                 let proxy = Proxy {
-                    front: Front::new(place, BEAT, life, 0),
+                    front: Dispatcher::new(place, BEAT, life, 0),
                     feed: Feed::new(node, zones, seeds, BEAT, life, 0),
                     watch,
                     lines: BTreeMap::new(),
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -9,7 +9,7 @@
 use nix::time::{ClockId, clock_gettime};
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{Front, Input};
+use proxy::dispatcher::{Dispatcher, Input};
 use registry::meter::Meter;
 use registry::presence::Presence;
 use serde::Serialize;
@@ -201,14 +201,14 @@
 }
 
 /// A proxy that knows nothing yet.
-fn blank() -> Front {
+fn blank() -> Dispatcher {
     let me = node(0);
     let leeway = Leeway { excess: 0.1, margin: 20.0, period_s: 5.0, retry_ratio: 0.2, retry_slack: 60.0 };
     let zones = ZONES.iter().map(|z| (z.0.into(), z.1.into())).collect();
     let exposure = proxy::rollout::Exposure::of(None, None);
     let (zone, region) = (me.zone, me.region);
     let place = Place { ip: me.ip, zone, region, zones, leeway, times: Times::default(), exposure };
-    Front::new(place, BEAT_US, 1, 0)
+    Dispatcher::new(place, BEAT_US, 1, 0)
 }
 
 fn proxy(w: &mut Weighed, heap: &PeakAlloc, written: Vec<u8>, patch: Command) -> Result<()> {
