--- a/crates/proxy/tests/watch.rs
+++ b/crates/proxy/tests/failure_detector.rs
@@ -4,7 +4,7 @@
 use cluster::state::{Command, Node, NodeChange};
 use cluster::talk::{Here, Seen};
 use cluster::{Micros, watch};
-use proxy::watch::Watch;
+use proxy::failure_detector::Watch;
 use registry::presence::Presence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
