--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -17,7 +17,7 @@
     count: u64,
 }
 
-pub struct Watch {
+pub struct FailureDetector {
     now: Micros,
     node: Node,
     every_us: Micros,
@@ -29,10 +29,10 @@
     watched: BTreeMap<Ipv4Addr, Heard>,
 }
 
-impl Watch {
+impl FailureDetector {
     /// `every_us`: between two rounds.
-    pub fn new(node: Node, every_us: Micros, life: u64, now: Micros) -> Watch {
-        Watch {
+    pub fn new(node: Node, every_us: Micros, life: u64, now: Micros) -> FailureDetector {
+        FailureDetector {
             now,
             node,
             every_us,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -13,7 +13,7 @@
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::dispatcher::{self, Ask, Dispatcher, End, Reached};
-use proxy::failure_detector::Watch;
+use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use proxy::rollout::Exposure;
 use proxy::servers::{self, Note};
@@ -116,7 +116,7 @@
     let grace_us = (s.bounds.grace_period_s.unwrap_or(GRACE_S) * 1e6) as Micros;
     let shell = Shell {
         front: Dispatcher::new(place, beat_us, start.life, now),
-        watch: Watch::new(node.clone(), beat_us / 3, start.life, now),
+        watch: FailureDetector::new(node.clone(), beat_us / 3, start.life, now),
         datagrams,
         feed: Feed::new(node, s.zones.clone(), start.seeds(), beat_us, start.life, now),
         registry_port: start.internal(REGISTRY_NEWS)?.port(),
@@ -287,7 +287,7 @@
 struct Shell {
     front: Dispatcher,
     feed: Feed,
-    watch: Watch,
+    watch: FailureDetector,
     datagrams: Datagrams,
     registry_port: u16,
     relay_port: u16,
--- a/crates/proxy/tests/failure_detector.rs
+++ b/crates/proxy/tests/failure_detector.rs
@@ -4,7 +4,7 @@
 use cluster::state::{Command, Node, NodeChange};
 use cluster::talk::{Here, Seen};
 use cluster::{Micros, watch};
-use proxy::failure_detector::Watch;
+use proxy::failure_detector::FailureDetector;
 use registry::presence::Presence;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -25,13 +25,13 @@
 /// All proxies in rounds; those of `silent` neither say nor hear anything.
 struct World {
     now: Micros,
-    all: BTreeMap<Ipv4Addr, Watch>,
+    all: BTreeMap<Ipv4Addr, FailureDetector>,
 }
 
 impl World {
     fn new(nodes: &BTreeMap<Ipv4Addr, Node>) -> World {
         let start = |n: &Node| {
-            let mut watch = Watch::new(n.clone(), ROUND, u64::from(n.ip.octets()[3]), 0);
+            let mut watch = FailureDetector::new(n.clone(), ROUND, u64::from(n.ip.octets()[3]), 0);
             watch.known(0, nodes);
             (n.ip, watch)
         };
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -15,7 +15,7 @@
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
 use proxy::dispatcher::{self, Ask, Dispatcher, End, Reached, Served};
-use proxy::failure_detector::Watch;
+use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use registry::board::{self, Board, Terms};
 use serde::Serialize;
@@ -107,7 +107,7 @@
 pub struct Proxy {
     pub front: Dispatcher,
     feed: Feed,
-    watch: Watch,
+    watch: FailureDetector,
     /// Links to those who are followed, by the feed's numbers; links of followers.
     lines: BTreeMap<u64, ConnId>,
     followers: BTreeSet<ConnId>,
@@ -260,7 +260,7 @@
                     },
                 );
                 let node = Node { ip, name, zone: zone.0, region: zone.1, front };
-                let watch = Watch::new(node.clone(), BEAT / 3, life, 0);
+                let watch = FailureDetector::new(node.clone(), BEAT / 3, life, 0);
                 let proxy = Proxy {
                     front: Dispatcher::new(place, BEAT, life, 0),
                     feed: Feed::new(node, zones, seeds, BEAT, life, 0),
