--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -49,7 +49,7 @@
     }
 
     /// The proxies there are, as agreed.
-    pub fn known(&mut self, now: Micros, nodes: &BTreeMap<Ipv4Addr, Node>) {
+    pub fn set_nodes(&mut self, now: Micros, nodes: &BTreeMap<Ipv4Addr, Node>) {
         self.passes(now);
         let here = || nodes.values().filter(|n| n.region == self.node.region);
         if here().map(|n| n.ip).eq(self.known.iter().copied()) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -421,7 +421,7 @@
                         log::info!("version {} is in force, revision {}", state.version(), state.rev);
                     }
                     self.feed(now, feed::Input::Changed);
-                    self.watch.known(now, &self.front.copy.state.nodes);
+                    self.watch.set_nodes(now, &self.front.copy.state.nodes);
                     self.show();
                 }
             }
--- a/crates/proxy/tests/failure_detector.rs
+++ b/crates/proxy/tests/failure_detector.rs
@@ -32,7 +32,7 @@
     fn new(nodes: &BTreeMap<Ipv4Addr, Node>) -> World {
         let start = |n: &Node| {
             let mut watch = FailureDetector::new(n.clone(), ROUND, u64::from(n.ip.octets()[3]), 0);
-            watch.known(0, nodes);
+            watch.set_nodes(0, nodes);
             (n.ip, watch)
         };
         World { now: 0, all: nodes.values().map(start).collect() }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -923,7 +923,7 @@
                 self.front(n, Some(input));
                 if let Some(p) = self.proxies[n].as_mut().filter(|_| news) {
                     let now = p.started;
-                    p.machine.watch.known(self.now - now, &p.machine.front.copy.state.nodes);
+                    p.machine.watch.set_nodes(self.now - now, &p.machine.front.copy.state.nodes);
                     inputs.push_back(feed::Input::Changed);
                 }
             }
