--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn heard(&mut self, now: Micros, from: Ipv4Addr, here: Here) {
+    pub fn heartbeat_received(&mut self, now: Micros, from: Ipv4Addr, here: Here) {
         self.passes(now);
         if let Some(heard) = self.watched.get_mut(&from)
             && (heard.life != here.life || heard.count < here.count)
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -522,7 +522,7 @@
                 self.feed(now, feed::Input::BelowGone(link));
             }
             Some(Told::FollowerSays(_, Event::Up)) => {}
-            Some(Told::Here(from, here)) => self.watch.heard(now, from, here),
+            Some(Told::Here(from, here)) => self.watch.heartbeat_received(now, from, here),
             Some(Told::Signal(Asked::Settings(settings))) => {
                 log::info!("settings are read again");
                 self.feed.reseed(runtime::seeds(&settings));
--- a/crates/proxy/tests/failure_detector.rs
+++ b/crates/proxy/tests/failure_detector.rs
@@ -45,7 +45,7 @@
             said.extend(to.iter().map(|to| (*ip, *to, here)));
         }
         for (from, to, here) in said.into_iter().filter(|(f, t, _)| !lost(*f, *t) && !silent.contains(t)) {
-            self.all.get_mut(&to).unwrap().heard(self.now, from, here);
+            self.all.get_mut(&to).unwrap().heartbeat_received(self.now, from, here);
         }
         self.now += ROUND;
     }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -955,7 +955,7 @@
         let ip = self.hosts[self.host_of(Owner::Proxy(from))].ip;
         if let Some(p) = &mut self.proxies[to] {
             let now = p.clock(self.now);
-            p.machine.watch.heard(now, ip, here);
+            p.machine.watch.heartbeat_received(now, ip, here);
         }
     }
 
