--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -86,7 +86,7 @@
 
     /// Who is to be told now that this proxy is there. `soon`: something else goes out now, so this may go
     /// along.
-    pub fn round(&mut self, now: Micros, soon: bool) -> Option<(Here, &[Ipv4Addr])> {
+    pub fn next_heartbeat(&mut self, now: Micros, soon: bool) -> Option<(Here, &[Ipv4Addr])> {
         self.passes(now);
         let early = if soon { self.every_us / 4 } else { 0 };
         if self.now + early < self.round_at {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -430,7 +430,7 @@
 
     /// Tells the watchers that this proxy is there, if it is time.
     fn watch(&mut self, now: Micros, soon: bool) {
-        if let Some((here, watchers)) = self.watch.round(now, soon) {
+        if let Some((here, watchers)) = self.watch.next_heartbeat(now, soon) {
             for ip in watchers {
                 self.datagrams.send(*ip, &here);
             }
--- a/crates/proxy/tests/failure_detector.rs
+++ b/crates/proxy/tests/failure_detector.rs
@@ -41,7 +41,7 @@
     fn round(&mut self, silent: &BTreeSet<Ipv4Addr>, lost: impl Fn(Ipv4Addr, Ipv4Addr) -> bool) {
         let mut said: Vec<(Ipv4Addr, Ipv4Addr, Here)> = Vec::new();
         for (ip, watch) in self.all.iter_mut().filter(|(ip, _)| !silent.contains(ip)) {
-            let (here, to) = watch.round(self.now, false).expect("a round is due");
+            let (here, to) = watch.next_heartbeat(self.now, false).expect("a round is due");
             said.extend(to.iter().map(|to| (*ip, *to, here)));
         }
         for (from, to, here) in said.into_iter().filter(|(f, t, _)| !lost(*f, *t) && !silent.contains(t)) {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -942,7 +942,7 @@
 
     /// Tells the watchers that this proxy is there, if it is time.
     fn watch(&mut self, n: usize, x: &mut Proxy, now: Micros, soon: bool) {
-        let Some((here, watchers)) = x.watch.round(now, soon) else { return };
+        let Some((here, watchers)) = x.watch.next_heartbeat(now, soon) else { return };
         for ip in watchers {
             if let Some(to) = self.relay_at(*ip) {
                 self.datagram(n, to, here);
