--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 
 /// A client's request, whole.
-pub struct Ask {
+pub struct ClientRequest {
     pub id: u64,
     pub method: String,
     pub target: String,
@@ -67,7 +67,7 @@
 
 pub enum Input {
     Tick,
-    Asked(Ask),
+    Asked(ClientRequest),
     Withdrawn(u64),
     Ended {
         id: u64,
@@ -219,7 +219,7 @@
     placed: BTreeMap<u64, Placed>,
     drills: Drills,
     /// Requests that wait for a grant: since when, and until when.
-    held: BTreeMap<u64, (Ask, Micros, Micros)>,
+    held: BTreeMap<u64, (ClientRequest, Micros, Micros)>,
     /// Answers that a rehearsal holds back.
     late: BTreeMap<(Micros, u64), Answer>,
     pub counts: Counts,
@@ -322,7 +322,7 @@
 
     // ---- requests ----
 
-    fn asked(&mut self, ask: Ask, out: &mut Vec<Output>) {
+    fn asked(&mut self, ask: ClientRequest, out: &mut Vec<Output>) {
         self.counts.asked += 1;
         let verdict = if self.drills.idle() { Verdict::Pass } else { self.rehearses(&ask) };
         match verdict {
@@ -332,7 +332,7 @@
         }
     }
 
-    fn take(&mut self, ask: Ask, rehearsed: Option<Fault>, out: &mut Vec<Output>) {
+    fn take(&mut self, ask: ClientRequest, rehearsed: Option<Fault>, out: &mut Vec<Output>) {
         let id = ask.id;
         match self.admit(ask, rehearsed) {
             Err(answer) => out.push(Output::Answer(id, answer)),
@@ -340,7 +340,7 @@
         }
     }
 
-    fn admit(&mut self, ask: Ask, rehearsed: Option<Fault>) -> Result<NewRequest, Answer> {
+    fn admit(&mut self, ask: ClientRequest, rehearsed: Option<Fault>) -> Result<NewRequest, Answer> {
         let (route, tenant) = whose(&self.config, &ask)?;
         let mut zones =
             self.book.within(&route.homes) & tenant.map_or(u64::MAX, |t| self.book.within(&t.homes));
@@ -616,7 +616,7 @@
     // ---- drills ----
 
     /// What becomes of a request whose caller may be drilled.
-    fn rehearses(&mut self, ask: &Ask) -> Verdict {
+    fn rehearses(&mut self, ask: &ClientRequest) -> Verdict {
         // What no configuration allows is refused as ever.
         let Ok((route, tenant)) = whose(&self.config, ask) else { return Verdict::Pass };
         let meeting = Meeting {
@@ -641,7 +641,7 @@
         }
     }
 
-    fn strike(&mut self, ask: Ask, met: Met, out: &mut Vec<Output>) {
+    fn strike(&mut self, ask: ClientRequest, met: Met, out: &mut Vec<Output>) {
         let (id, fault) = (ask.id, met.fault.clone());
         out.push(Output::Rehearsed { id, name: ask.name.clone(), met });
         match fault {
@@ -895,7 +895,7 @@
 /// The route and the tenant of a request, or why it may not be.
 fn whose<'c>(
     config: &'c Option<(Arc<Config>, Index)>,
-    ask: &Ask,
+    ask: &ClientRequest,
 ) -> Result<(&'c Route, Option<&'c Tenant>), Answer> {
     let Some((config, index)) = config else {
         return Err(Answer::later(503, "no configuration yet", 200_000));
@@ -989,7 +989,7 @@
 }
 
 /// Request line and headers for any server.
-fn head(ask: &Ask, tenant: Option<&Tenant>) -> Vec<u8> {
+fn head(ask: &ClientRequest, tenant: Option<&Tenant>) -> Vec<u8> {
     let mut head = Vec::with_capacity(ask.head.len() + ask.target.len() + 160);
     for part in [&ask.method, " ", &ask.target, " HTTP/1.1\r\n"] {
         head.extend_from_slice(part.as_bytes());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -12,7 +12,7 @@
 use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{self, Ask, Dispatcher, End, Reached};
+use proxy::dispatcher::{self, ClientRequest, Dispatcher, End, Reached};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use proxy::rollout::Exposure;
@@ -52,7 +52,7 @@
 const RETRY: (f64, f64) = (0.2, 50.0);
 
 enum Told {
-    Asked(Ask, Reply),
+    Asked(ClientRequest, Reply),
     Withdrawn(u64),
     Ended(u64, u32, End),
     Link(u64, Event<Down>),
@@ -177,7 +177,7 @@
 const HELD_BACK: [&str; 4] = ["X-Time-Left", "Authorization", "X-Tenant-Name", "X-Expected-Instance"];
 
 impl Desk for Requests {
-    type Ask = Ask;
+    type Ask = ClientRequest;
 
     fn bounds(&self) -> Bounds {
         let get = |n: &AtomicUsize| n.load(Ordering::Relaxed);
@@ -190,7 +190,7 @@
         Patience { first_us: None, read_us: wait, write_us: idle, once_idle_us: idle, idle_us: idle }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Ask>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<Heard<ClientRequest>, Bad> {
         let text =
             |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim);
         let name = text("X-Attempt-Id").filter(|id| !id.is_empty());
@@ -201,7 +201,7 @@
         let key = key.filter(|(kind, _)| kind.eq_ignore_ascii_case("Token"));
         let mut lines = Vec::with_capacity(head.len);
         http::pass_on(head.headers, &HELD_BACK, &mut lines);
-        Ok(Heard::Take(Ask {
+        Ok(Heard::Take(ClientRequest {
             id: 0,
             method: head.method.to_string(),
             target: head.target.to_string(),
@@ -214,8 +214,8 @@
         }))
     }
 
-    fn asked(&self, id: u64, ask: Ask, body: Held, reply: Reply) {
-        self.inbox.post(Told::Asked(Ask { id, body, ..ask }, reply));
+    fn asked(&self, id: u64, ask: ClientRequest, body: Held, reply: Reply) {
+        self.inbox.post(Told::Asked(ClientRequest { id, body, ..ask }, reply));
     }
 
     fn abreast(&self) -> usize {
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
-use proxy::dispatcher::{Answer, Ask, End, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, ClientRequest, End, Input, Job, Output, Reached, Served};
 use proxy::servers::{Note, Said, Servers};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -178,7 +178,7 @@
         let (method, path) = if once { ("POST", "/put/") } else { ("GET", "/get/") };
         let head = format!("X-Attempt-Id: {name}\r\n").into_bytes();
         let bytes = if once { b"four".to_vec() } else { Vec::new() };
-        self.tell(Input::Asked(Ask {
+        self.tell(Input::Asked(ClientRequest {
             id,
             method: method.into(),
             target: path.into(),
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{Answer, Ask, Dispatcher, End, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, ClientRequest, Dispatcher, End, Input, Job, Output, Reached, Served};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -149,7 +149,7 @@
 
     pub fn ask_within(&mut self, path: &str, key: Option<&str>, left_us: Option<u64>) -> u64 {
         self.asked += 1;
-        self.tell(Input::Asked(Ask {
+        self.tell(Input::Asked(ClientRequest {
             id: self.asked,
             method: "GET".into(),
             target: path.into(),
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
-use proxy::dispatcher::{self, Ask, Dispatcher, End, Reached, Served};
+use proxy::dispatcher::{self, ClientRequest, Dispatcher, End, Reached, Served};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use registry::board::{self, Board, Terms};
@@ -597,7 +597,7 @@
                 let now = self.now;
                 let t = &mut self.record.tries[number as usize];
                 t.read = Some(now);
-                let ask = Ask {
+                let ask = ClientRequest {
                     id: conn,
                     method: if t.once { "POST" } else { "GET" }.into(),
                     target: t.path.clone(),
