--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -40,7 +40,7 @@
 }
 
 /// How an attempt ended.
-pub enum End {
+pub enum AttemptResult {
     /// With a whole answer.
     Answered(Served),
     /// Without one.
@@ -72,7 +72,7 @@
     Ended {
         id: u64,
         attempt: u32,
-        end: End,
+        end: AttemptResult,
     },
     News(News),
     /// With when they were made, at the least.
@@ -417,10 +417,10 @@
         }
     }
 
-    fn ended(&mut self, id: u64, attempt: u32, end: End, out: &mut Vec<Output>) {
+    fn ended(&mut self, id: u64, attempt: u32, end: AttemptResult, out: &mut Vec<Output>) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(one) = open.tries.get(attempt as usize).filter(|t| t.out) else { return };
-        let (server, wrong) = (one.server, matches!(&end, End::Answered(s) if s.status == 421));
+        let (server, wrong) = (one.server, matches!(&end, AttemptResult::Answered(s) if s.status == 421));
         let taken_us = self.now.saturating_sub(one.sent_at);
         if let (Some(placed), None) = (one.placed, &open.rehearsed)
             && let Some(ended) = tells_of_version(&end, taken_us, placed.cold_until > one.sent_at)
@@ -428,9 +428,9 @@
             self.rollouts.ended(placed, open.route, ended);
         }
         let outcome = match end {
-            End::Broken { reached: Reached::NeverRan } => Outcome::ConnectFailed,
-            End::Broken { reached: Reached::MayHaveRun } => Outcome::Reset,
-            End::Answered(served) => match judge(&served) {
+            AttemptResult::Broken { reached: Reached::NeverRan } => Outcome::ConnectFailed,
+            AttemptResult::Broken { reached: Reached::MayHaveRun } => Outcome::Reset,
+            AttemptResult::Answered(served) => match judge(&served) {
                 outcome @ (Outcome::Ok | Outcome::Rejected) => {
                     if !open.closed {
                         let Served { status, headers, body, .. } = served;
@@ -937,11 +937,11 @@
 }
 
 /// What the end of an attempt says of the version of its server, if anything.
-fn tells_of_version(end: &End, taken_us: Micros, cold: bool) -> Option<Ended> {
+fn tells_of_version(end: &AttemptResult, taken_us: Micros, cold: bool) -> Option<Ended> {
     match end {
-        End::Broken { reached: Reached::NeverRan } => None,
-        End::Broken { reached: Reached::MayHaveRun } => Some(Ended::Failed),
-        End::Answered(served) => match judge(served) {
+        AttemptResult::Broken { reached: Reached::NeverRan } => None,
+        AttemptResult::Broken { reached: Reached::MayHaveRun } => Some(Ended::Failed),
+        AttemptResult::Answered(served) => match judge(served) {
             Outcome::Ok => Some(Ended::Served { taken_us, cold }),
             Outcome::Full | Outcome::ConnectFailed => None,
             _ => Some(Ended::Failed),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -12,7 +12,7 @@
 use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{self, ClientRequest, Dispatcher, End, Reached};
+use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Reached};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use proxy::rollout::Exposure;
@@ -54,7 +54,7 @@
 enum Told {
     Asked(ClientRequest, Reply),
     Withdrawn(u64),
-    Ended(u64, u32, End),
+    Ended(u64, u32, AttemptResult),
     Link(u64, Event<Down>),
     FollowerTaken(Line),
     FollowerSays(u64, Event<Up>),
@@ -278,9 +278,9 @@
 }
 
 /// What is spoken with servers; how attempts end comes to the shell.
-type Servers = servers::Servers<Box<dyn Fn(u64, u32, End) + Send + Sync>>;
+type Servers = servers::Servers<Box<dyn Fn(u64, u32, AttemptResult) + Send + Sync>>;
 
-fn tell(inbox: Inbox<Told>) -> Box<dyn Fn(u64, u32, End) + Send + Sync> {
+fn tell(inbox: Inbox<Told>) -> Box<dyn Fn(u64, u32, AttemptResult) + Send + Sync> {
     Box::new(move |id, attempt, end| inbox.post(Told::Ended(id, attempt, end)))
 }
 
@@ -332,7 +332,7 @@
                         .get(&server)
                         .is_some_and(|p| p.send(Job { id, attempt, passage, again, until, note }));
                     if !sent {
-                        let end = End::Broken { reached: Reached::NeverRan };
+                        let end = AttemptResult::Broken { reached: Reached::NeverRan };
                         self.inbox.post(Told::Ended(id, attempt, end));
                     }
                 }
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,7 +1,7 @@
 //! What the proxy speaks with servers: the lines that end a request's head, whose an answer is, and what is known of
 //! an attempt that has ended.
 
-use crate::dispatcher::{End, Reached, Served};
+use crate::dispatcher::{AttemptResult, Reached, Served};
 use net::Micros;
 use net::errors::AttemptError;
 use net::http;
@@ -24,14 +24,14 @@
     headers: Vec<u8>,
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Servers<T> {
+impl<T: Fn(u64, u32, AttemptResult) + Send + Sync + 'static> Servers<T> {
     /// How each attempt ends goes to `tell`.
     pub fn new(tell: T) -> Servers<T> {
         Servers { tell }
     }
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for Servers<T> {
+impl<T: Fn(u64, u32, AttemptResult) + Send + Sync + 'static> Wire for Servers<T> {
     type Note = Note;
     type Said = Said;
 
@@ -57,11 +57,11 @@
     fn ended(&self, ended: Ended<Servers<T>>) {
         let end = match ended.outcome {
             Ok(pool::Served { status, said, body }) => {
-                End::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
+                AttemptResult::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
             }
             Err(why) => {
                 log::info!("{}.{}: {why}", ended.id, ended.attempt);
-                End::Broken { reached: reached(&why) }
+                AttemptResult::Broken { reached: reached(&why) }
             }
         };
         (self.tell)(ended.id, ended.attempt, end);
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -14,14 +14,14 @@
 use net::limits::Held;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
-use proxy::dispatcher::{Answer, ClientRequest, End, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, AttemptResult, ClientRequest, Input, Job, Output, Reached, Served};
 use proxy::servers::{Note, Said, Servers};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
 use tape::Tape;
 
-type Tell = Box<dyn Fn(u64, u32, End) + Send + Sync>;
+type Tell = Box<dyn Fn(u64, u32, AttemptResult) + Send + Sync>;
 type Carried = pool::Job<Note>;
 
 const BOUNDS: Bounds = Bounds { head: 4096, body: 4096 };
@@ -141,7 +141,7 @@
 struct World {
     proxy: Proxy,
     wire: Speaker,
-    ended: Arc<Mutex<Vec<(u64, u32, End)>>>,
+    ended: Arc<Mutex<Vec<(u64, u32, AttemptResult)>>>,
     conns: Vec<Conn>,
     requests: BTreeMap<u64, Request>,
     tape: Tape,
@@ -477,7 +477,7 @@
         if self.plant == Some(Plant::RetryAfterSilence)
             && let Some((id, attempt)) = self.conns.iter().find_map(|c| c.attempt.filter(|_| c.open))
         {
-            let end = End::Broken { reached: Reached::NeverRan };
+            let end = AttemptResult::Broken { reached: Reached::NeverRan };
             return self.tell(Input::Ended { id, attempt, end });
         }
         let hurried = self.conns.iter().filter(|c| c.open).filter_map(|c| c.hurry_at).min();
@@ -492,12 +492,14 @@
         self.tell(Input::Tick);
     }
 
-    fn spoil(&self, end: End) -> End {
+    fn spoil(&self, end: AttemptResult) -> AttemptResult {
         match (self.plant, end) {
-            (Some(Plant::RetryAfterReset), End::Broken { .. }) => End::Broken { reached: Reached::NeverRan },
-            (Some(Plant::CutLooksWhole), End::Broken { reached: Reached::MayHaveRun }) => {
+            (Some(Plant::RetryAfterReset), AttemptResult::Broken { .. }) => {
+                AttemptResult::Broken { reached: Reached::NeverRan }
+            }
+            (Some(Plant::CutLooksWhole), AttemptResult::Broken { reached: Reached::MayHaveRun }) => {
                 let (headers, body) = (Vec::new(), b"n1/1/xx".to_vec());
-                End::Answered(Served { status: 200, not_run: false, headers, body })
+                AttemptResult::Answered(Served { status: 200, not_run: false, headers, body })
             }
             (_, end) => end,
         }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -7,7 +7,9 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{Answer, ClientRequest, Dispatcher, End, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{
+    Answer, AttemptResult, ClientRequest, Dispatcher, Input, Job, Output, Reached, Served,
+};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -163,17 +165,17 @@
         self.asked
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, end: End) {
+    pub fn end(&mut self, id: u64, attempt: u32, end: AttemptResult) {
         self.tell(Input::Ended { id, attempt, end });
     }
 
     pub fn served(&mut self, id: u64, attempt: u32, status: u16, not_run: bool) {
         let served = Served { status, not_run, headers: Vec::new(), body: b"said".to_vec() };
-        self.end(id, attempt, End::Answered(served));
+        self.end(id, attempt, AttemptResult::Answered(served));
     }
 
     pub fn broken(&mut self, id: u64, attempt: u32, reached: Reached) {
-        self.end(id, attempt, End::Broken { reached });
+        self.end(id, attempt, AttemptResult::Broken { reached });
     }
 
     /// The one attempt that the last input led to.
