--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -44,12 +44,12 @@
     /// With a whole answer.
     Answered(Served),
     /// Without one.
-    Broken { reached: Reached },
+    Broken { execution: Execution },
 }
 
 /// How far an attempt without an answer had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reached {
+pub enum Execution {
     /// The server cannot have run it.
     NeverRan,
     MayHaveRun,
@@ -428,8 +428,8 @@
             self.rollouts.ended(placed, open.route, ended);
         }
         let outcome = match end {
-            AttemptResult::Broken { reached: Reached::NeverRan } => Outcome::ConnectFailed,
-            AttemptResult::Broken { reached: Reached::MayHaveRun } => Outcome::Reset,
+            AttemptResult::Broken { execution: Execution::NeverRan } => Outcome::ConnectFailed,
+            AttemptResult::Broken { execution: Execution::MayHaveRun } => Outcome::Reset,
             AttemptResult::Answered(served) => match judge(&served) {
                 outcome @ (Outcome::Ok | Outcome::Rejected) => {
                     if !open.closed {
@@ -939,8 +939,8 @@
 /// What the end of an attempt says of the version of its server, if anything.
 fn tells_of_version(end: &AttemptResult, taken_us: Micros, cold: bool) -> Option<Ended> {
     match end {
-        AttemptResult::Broken { reached: Reached::NeverRan } => None,
-        AttemptResult::Broken { reached: Reached::MayHaveRun } => Some(Ended::Failed),
+        AttemptResult::Broken { execution: Execution::NeverRan } => None,
+        AttemptResult::Broken { execution: Execution::MayHaveRun } => Some(Ended::Failed),
         AttemptResult::Answered(served) => match judge(served) {
             Outcome::Ok => Some(Ended::Served { taken_us, cold }),
             Outcome::Full | Outcome::ConnectFailed => None,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -12,7 +12,7 @@
 use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
-use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Reached};
+use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use proxy::rollout::Exposure;
@@ -332,7 +332,7 @@
                         .get(&server)
                         .is_some_and(|p| p.send(Job { id, attempt, passage, again, until, note }));
                     if !sent {
-                        let end = AttemptResult::Broken { reached: Reached::NeverRan };
+                        let end = AttemptResult::Broken { execution: Execution::NeverRan };
                         self.inbox.post(Told::Ended(id, attempt, end));
                     }
                 }
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,7 +1,7 @@
 //! What the proxy speaks with servers: the lines that end a request's head, whose an answer is, and what is known of
 //! an attempt that has ended.
 
-use crate::dispatcher::{AttemptResult, Reached, Served};
+use crate::dispatcher::{AttemptResult, Execution, Served};
 use net::Micros;
 use net::errors::AttemptError;
 use net::http;
@@ -61,13 +61,13 @@
             }
             Err(why) => {
                 log::info!("{}.{}: {why}", ended.id, ended.attempt);
-                AttemptResult::Broken { reached: reached(&why) }
+                AttemptResult::Broken { execution: reached(&why) }
             }
         };
         (self.tell)(ended.id, ended.attempt, end);
     }
 }
 
-fn reached(why: &AttemptError) -> Reached {
-    if why.never_ran() { Reached::NeverRan } else { Reached::MayHaveRun }
+fn reached(why: &AttemptError) -> Execution {
+    if why.never_ran() { Execution::NeverRan } else { Execution::MayHaveRun }
 }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
-use proxy::dispatcher::{Answer, AttemptResult, ClientRequest, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{Answer, AttemptResult, ClientRequest, Execution, Input, Job, Output, Served};
 use proxy::servers::{Note, Said, Servers};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -477,7 +477,7 @@
         if self.plant == Some(Plant::RetryAfterSilence)
             && let Some((id, attempt)) = self.conns.iter().find_map(|c| c.attempt.filter(|_| c.open))
         {
-            let end = AttemptResult::Broken { reached: Reached::NeverRan };
+            let end = AttemptResult::Broken { execution: Execution::NeverRan };
             return self.tell(Input::Ended { id, attempt, end });
         }
         let hurried = self.conns.iter().filter(|c| c.open).filter_map(|c| c.hurry_at).min();
@@ -495,9 +495,9 @@
     fn spoil(&self, end: AttemptResult) -> AttemptResult {
         match (self.plant, end) {
             (Some(Plant::RetryAfterReset), AttemptResult::Broken { .. }) => {
-                AttemptResult::Broken { reached: Reached::NeverRan }
+                AttemptResult::Broken { execution: Execution::NeverRan }
             }
-            (Some(Plant::CutLooksWhole), AttemptResult::Broken { reached: Reached::MayHaveRun }) => {
+            (Some(Plant::CutLooksWhole), AttemptResult::Broken { execution: Execution::MayHaveRun }) => {
                 let (headers, body) = (Vec::new(), b"n1/1/xx".to_vec());
                 AttemptResult::Answered(Served { status: 200, not_run: false, headers, body })
             }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::dispatcher::{
-    Answer, AttemptResult, ClientRequest, Dispatcher, Input, Job, Output, Reached, Served,
+    Answer, AttemptResult, ClientRequest, Dispatcher, Execution, Input, Job, Output, Served,
 };
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -174,8 +174,8 @@
         self.end(id, attempt, AttemptResult::Answered(served));
     }
 
-    pub fn broken(&mut self, id: u64, attempt: u32, reached: Reached) {
-        self.end(id, attempt, AttemptResult::Broken { reached });
+    pub fn broken(&mut self, id: u64, attempt: u32, execution: Execution) {
+        self.end(id, attempt, AttemptResult::Broken { execution });
     }
 
     /// The one attempt that the last input led to.
--- a/crates/proxy/tests/dispatcher.rs
+++ b/crates/proxy/tests/dispatcher.rs
@@ -4,7 +4,7 @@
 
 use cluster::talk::News;
 use common::*;
-use proxy::dispatcher::{Input, Reached};
+use proxy::dispatcher::{Execution, Input};
 
 #[test]
 fn an_evacuation_shuts_the_servers_of_its_own_zone_though_names_and_numbers_differ_in_order() {
@@ -153,7 +153,7 @@
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
     let id = proxy.ask("/put/", Some("k1"));
     proxy.served(id, 0, 503, true);
-    proxy.broken(id, 1, Reached::MayHaveRun);
+    proxy.broken(id, 1, Execution::MayHaveRun);
     assert_eq!(proxy.status(), Some(502));
     assert_eq!(proxy.front.requests_open(), 0);
 }
@@ -161,11 +161,11 @@
 #[test]
 fn after_a_broken_connection_only_what_may_run_twice_or_never_ran_goes_again() {
     for (path, reached, again) in [
-        ("/put/", Reached::MayHaveRun, false),
-        ("/put/", Reached::NeverRan, true),
-        ("/get/", Reached::MayHaveRun, true),
-        ("/get/", Reached::NeverRan, true),
-        ("/load/", Reached::MayHaveRun, true),
+        ("/put/", Execution::MayHaveRun, false),
+        ("/put/", Execution::NeverRan, true),
+        ("/get/", Execution::MayHaveRun, true),
+        ("/get/", Execution::NeverRan, true),
+        ("/load/", Execution::MayHaveRun, true),
     ] {
         let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
         let id = proxy.ask(path, Some("k1"));
@@ -252,11 +252,11 @@
     assert!(proxy.sent().is_none() && proxy.answer().is_none());
     proxy.served(done, 0, 200, false);
     assert_eq!(proxy.status(), Some(200));
-    proxy.broken(moved, 0, Reached::MayHaveRun);
+    proxy.broken(moved, 0, Execution::MayHaveRun);
     assert!(proxy.sent().is_some(), "still safe");
     proxy.served(moved, 1, 200, false);
     assert_eq!(proxy.status(), Some(200));
-    proxy.broken(once, 0, Reached::MayHaveRun);
+    proxy.broken(once, 0, Execution::MayHaveRun);
     assert_eq!((proxy.status(), proxy.goes_to()), (Some(502), None), "still unsafe");
     proxy.ask("/get/", Some("k1"));
     assert_eq!(proxy.status(), Some(404));
--- a/crates/proxy/tests/drill.rs
+++ b/crates/proxy/tests/drill.rs
@@ -7,7 +7,7 @@
 use cluster::state::Command;
 use cluster::talk::Lease;
 use common::*;
-use proxy::dispatcher::{Input, Output, Reached};
+use proxy::dispatcher::{Execution, Input, Output};
 use settings::drill::Drill;
 
 /// For the tenant of k1, which has no limit.
@@ -70,7 +70,7 @@
     let id = proxy.ask("/put/", Some("k1"));
     proxy.served(id, 0, 503, true);
     assert!(proxy.sent().is_some(), "the other server has room");
-    proxy.broken(id, 1, Reached::MayHaveRun);
+    proxy.broken(id, 1, Execution::MayHaveRun);
     assert_eq!(proxy.status(), Some(502));
 }
 
@@ -183,7 +183,7 @@
     start(&mut proxy, "x", r#""late","delay_ms":1"#, r#""guard":{"real_failures":2},"#);
     for _ in 0..2 {
         let id = proxy.ask("/put/", Some("k1"));
-        proxy.broken(id, 0, Reached::MayHaveRun);
+        proxy.broken(id, 0, Execution::MayHaveRun);
     }
     let said = land(&mut proxy);
     assert!(said.iter().any(|s| matches!(s, Said::Guard(why) if why.contains("2 real"))), "{said:?}");
--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -5,7 +5,7 @@
 use cluster::rollout::{Order, RolloutChange, Stage};
 use cluster::state::{Command, ServerChange};
 use common::*;
-use proxy::dispatcher::Reached;
+use proxy::dispatcher::Execution;
 use proxy::rollout::{Exposure, Rollouts};
 
 const SHARE: f64 = 0.08;
@@ -102,7 +102,7 @@
         proxy.now += 5_000;
         if on_trial {
             failed += 1;
-            proxy.broken(id, 0, Reached::MayHaveRun);
+            proxy.broken(id, 0, Execution::MayHaveRun);
             assert!(proxy.goes_to().expect("sent again").starts_with('o'));
             proxy.served(id, 1, 200, false);
         } else {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
-use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Reached, Served};
+use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution, Served};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use registry::board::{self, Board, Terms};
@@ -634,7 +634,7 @@
                 } else if let Some(c) = x.work.remove(&conn) {
                     if w.garbled {
                         self.close(conn, Owner::Proxy(n));
-                        let end = AttemptResult::Broken { reached: Reached::MayHaveRun };
+                        let end = AttemptResult::Broken { execution: Execution::MayHaveRun };
                         let input = dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end };
                         return self.front(n, Some(input));
                     }
@@ -652,8 +652,8 @@
             (Kind::Work, Event::Down) => {
                 x.idle.values_mut().for_each(|idle| idle.retain(|c| *c != conn));
                 if let Some(c) = x.work.remove(&conn) {
-                    let reached = if c.sent { Reached::MayHaveRun } else { Reached::NeverRan };
-                    let end = AttemptResult::Broken { reached };
+                    let execution = if c.sent { Execution::MayHaveRun } else { Execution::NeverRan };
+                    let end = AttemptResult::Broken { execution };
                     self.front(n, Some(dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end }));
                 }
             }
@@ -774,7 +774,7 @@
                     life,
                 });
                 let Some(to) = x.peers.get(&job.server).and_then(|a| self.server_at(*a)) else {
-                    let end = AttemptResult::Broken { reached: Reached::NeverRan };
+                    let end = AttemptResult::Broken { execution: Execution::NeverRan };
                     return Some(dispatcher::Input::Ended { id: job.id, attempt: job.attempt, end });
                 };
                 let kept = x.idle.get_mut(&job.server).filter(|_| !job.again).and_then(Vec::pop);
