--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -42,7 +42,7 @@
 /// How an attempt ended.
 pub enum AttemptResult {
     /// With a whole answer.
-    Answered(Served),
+    Answered(ServerAnswer),
     /// Without one.
     Broken { execution: Execution },
 }
@@ -56,7 +56,7 @@
 }
 
 /// A server's answer.
-pub struct Served {
+pub struct ServerAnswer {
     pub status: u16,
     /// The server says that it did not run the request.
     pub not_run: bool,
@@ -433,7 +433,7 @@
             AttemptResult::Answered(served) => match judge(&served) {
                 outcome @ (Outcome::Ok | Outcome::Rejected) => {
                     if !open.closed {
-                        let Served { status, headers, body, .. } = served;
+                        let ServerAnswer { status, headers, body, .. } = served;
                         self.counts.served += u64::from(outcome == Outcome::Ok);
                         open.closed = true;
                         let answer = Answer { status, headers, body };
@@ -450,7 +450,7 @@
                     // Passed on if nothing better comes, but never as a promise that this server did not give.
                     let promise = matches!(served.status, 408 | 421 | 429 | 503);
                     if !promise {
-                        let Served { status, headers, body, .. } = served;
+                        let ServerAnswer { status, headers, body, .. } = served;
                         open.spare = Some(Answer { status, headers, body });
                     }
                     outcome
@@ -950,7 +950,7 @@
 }
 
 /// What an answer says of its attempt.
-fn judge(served: &Served) -> Outcome {
+fn judge(served: &ServerAnswer) -> Outcome {
     match served.status {
         // Another server's address by now: it did not run there, and says nothing of the load.
         421 => Outcome::ConnectFailed,
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,7 +1,7 @@
 //! What the proxy speaks with servers: the lines that end a request's head, whose an answer is, and what is known of
 //! an attempt that has ended.
 
-use crate::dispatcher::{AttemptResult, Execution, Served};
+use crate::dispatcher::{AttemptResult, Execution, ServerAnswer};
 use net::Micros;
 use net::errors::AttemptError;
 use net::http;
@@ -56,9 +56,12 @@
 
     fn ended(&self, ended: Ended<Servers<T>>) {
         let end = match ended.outcome {
-            Ok(pool::Served { status, said, body }) => {
-                AttemptResult::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
-            }
+            Ok(pool::Served { status, said, body }) => AttemptResult::Answered(ServerAnswer {
+                status,
+                not_run: said.not_run,
+                headers: said.headers,
+                body,
+            }),
             Err(why) => {
                 log::info!("{}.{}: {why}", ended.id, ended.attempt);
                 AttemptResult::Broken { execution: reached(&why) }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
-use proxy::dispatcher::{Answer, AttemptResult, ClientRequest, Execution, Input, Job, Output, Served};
+use proxy::dispatcher::{Answer, AttemptResult, ClientRequest, Execution, Input, Job, Output, ServerAnswer};
 use proxy::servers::{Note, Said, Servers};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -499,7 +499,7 @@
             }
             (Some(Plant::CutLooksWhole), AttemptResult::Broken { execution: Execution::MayHaveRun }) => {
                 let (headers, body) = (Vec::new(), b"n1/1/xx".to_vec());
-                AttemptResult::Answered(Served { status: 200, not_run: false, headers, body })
+                AttemptResult::Answered(ServerAnswer { status: 200, not_run: false, headers, body })
             }
             (_, end) => end,
         }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::dispatcher::{
-    Answer, AttemptResult, ClientRequest, Dispatcher, Execution, Input, Job, Output, Served,
+    Answer, AttemptResult, ClientRequest, Dispatcher, Execution, Input, Job, Output, ServerAnswer,
 };
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -170,7 +170,7 @@
     }
 
     pub fn served(&mut self, id: u64, attempt: u32, status: u16, not_run: bool) {
-        let served = Served { status, not_run, headers: Vec::new(), body: b"said".to_vec() };
+        let served = ServerAnswer { status, not_run, headers: Vec::new(), body: b"said".to_vec() };
         self.end(id, attempt, AttemptResult::Answered(served));
     }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -14,7 +14,7 @@
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
-use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution, Served};
+use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution, ServerAnswer};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
 use registry::board::{self, Board, Terms};
@@ -644,7 +644,7 @@
                     }
                     let seal = w.seal.map(|s| format!("X-Server-Seal: {s}\r\n")).unwrap_or_default();
                     let (headers, body) = (seal.into_bytes(), Vec::new());
-                    let served = Served { status: w.status, not_run: w.not_run, headers, body };
+                    let served = ServerAnswer { status: w.status, not_run: w.not_run, headers, body };
                     let end = AttemptResult::Answered(served);
                     self.front(n, Some(dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end }));
                 }
