--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -67,7 +67,7 @@
 
 pub enum Input {
     Tick,
-    Asked(ClientRequest),
+    Request(ClientRequest),
     Withdrawn(u64),
     Ended {
         id: u64,
@@ -292,7 +292,7 @@
         let before = out.len();
         match input {
             Input::Tick => {}
-            Input::Asked(ask) => self.asked(ask, out),
+            Input::Request(ask) => self.asked(ask, out),
             Input::Withdrawn(id) => {
                 self.leave_drills(id);
                 if let Some(open) = self.open.get_mut(&id).filter(|o| !o.closed) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -496,7 +496,7 @@
             }
             Some(Told::Asked(ask, reply)) => {
                 self.replies.insert(ask.id, reply);
-                self.front(now, dispatcher::Input::Asked(ask));
+                self.front(now, dispatcher::Input::Request(ask));
             }
             Some(Told::Withdrawn(id)) => {
                 self.replies.remove(&id);
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -178,7 +178,7 @@
         let (method, path) = if once { ("POST", "/put/") } else { ("GET", "/get/") };
         let head = format!("X-Attempt-Id: {name}\r\n").into_bytes();
         let bytes = if once { b"four".to_vec() } else { Vec::new() };
-        self.tell(Input::Asked(ClientRequest {
+        self.tell(Input::Request(ClientRequest {
             id,
             method: method.into(),
             target: path.into(),
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -151,7 +151,7 @@
 
     pub fn ask_within(&mut self, path: &str, key: Option<&str>, left_us: Option<u64>) -> u64 {
         self.asked += 1;
-        self.tell(Input::Asked(ClientRequest {
+        self.tell(Input::Request(ClientRequest {
             id: self.asked,
             method: "GET".into(),
             target: path.into(),
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -609,7 +609,7 @@
                     body: Held::default(),
                 };
                 x.open.insert(conn, number);
-                self.front(n, Some(dispatcher::Input::Asked(ask)));
+                self.front(n, Some(dispatcher::Input::Request(ask)));
             }
             (Kind::Request, Event::Down) => {
                 x.clients.remove(&conn);
