--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -68,7 +68,7 @@
 pub enum Input {
     Tick,
     Request(ClientRequest),
-    Withdrawn(u64),
+    ClientGone(u64),
     Ended {
         id: u64,
         attempt: u32,
@@ -293,7 +293,7 @@
         match input {
             Input::Tick => {}
             Input::Request(ask) => self.asked(ask, out),
-            Input::Withdrawn(id) => {
+            Input::ClientGone(id) => {
                 self.leave_drills(id);
                 if let Some(open) = self.open.get_mut(&id).filter(|o| !o.closed) {
                     open.closed = true;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -500,7 +500,7 @@
             }
             Some(Told::Withdrawn(id)) => {
                 self.replies.remove(&id);
-                self.front(now, dispatcher::Input::Withdrawn(id));
+                self.front(now, dispatcher::Input::ClientGone(id));
             }
             Some(Told::Ended(id, attempt, end)) => {
                 self.front(now, dispatcher::Input::Ended { id, attempt, end });
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -468,7 +468,7 @@
         let Some(id) = self.requests.iter().find(|(_, r)| waiting(r)).map(|(id, _)| *id) else { return };
         if self.trouble(2) == 1 {
             self.requests.get_mut(&id).expect("there").left = true;
-            self.tell(Input::Withdrawn(id));
+            self.tell(Input::ClientGone(id));
         }
     }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -614,7 +614,7 @@
             (Kind::Request, Event::Down) => {
                 x.clients.remove(&conn);
                 let open = x.open.remove(&conn).is_some();
-                self.front(n, open.then_some(dispatcher::Input::Withdrawn(conn)));
+                self.front(n, open.then_some(dispatcher::Input::ClientGone(conn)));
             }
             (Kind::Work, Event::Up) => {
                 if let Some(c) = x.work.get_mut(&conn) {
