--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -69,7 +69,7 @@
     Tick,
     Request(ClientRequest),
     ClientGone(u64),
-    Ended {
+    AttemptEnded {
         id: u64,
         attempt: u32,
         end: AttemptResult,
@@ -301,7 +301,7 @@
                     self.forget(id);
                 }
             }
-            Input::Ended { id, attempt, end } => self.ended(id, attempt, end, out),
+            Input::AttemptEnded { id, attempt, end } => self.ended(id, attempt, end, out),
             Input::News(news) => self.news(news, out),
             Input::Meter(readings, made_at) => self.meter(&readings, made_at, out),
             Input::Leases(leases, made_at) => self.drills.lease(made_at, &leases),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -503,7 +503,7 @@
                 self.front(now, dispatcher::Input::ClientGone(id));
             }
             Some(Told::Ended(id, attempt, end)) => {
-                self.front(now, dispatcher::Input::Ended { id, attempt, end });
+                self.front(now, dispatcher::Input::AttemptEnded { id, attempt, end });
             }
             Some(Told::Link(link, event)) => {
                 let input = match event {
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -438,7 +438,7 @@
             let ended = std::mem::take(&mut *self.ended.lock().expect("whole"));
             for (id, attempt, end) in ended {
                 let end = self.spoil(end);
-                self.tell(Input::Ended { id, attempt, end });
+                self.tell(Input::AttemptEnded { id, attempt, end });
             }
             if !self.ended.lock().expect("whole").is_empty() {
                 continue;
@@ -478,7 +478,7 @@
             && let Some((id, attempt)) = self.conns.iter().find_map(|c| c.attempt.filter(|_| c.open))
         {
             let end = AttemptResult::Broken { execution: Execution::NeverRan };
-            return self.tell(Input::Ended { id, attempt, end });
+            return self.tell(Input::AttemptEnded { id, attempt, end });
         }
         let hurried = self.conns.iter().filter(|c| c.open).filter_map(|c| c.hurry_at).min();
         let at = self.proxy.front.wake_at().min(hurried.unwrap_or(Micros::MAX));
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -166,7 +166,7 @@
     }
 
     pub fn end(&mut self, id: u64, attempt: u32, end: AttemptResult) {
-        self.tell(Input::Ended { id, attempt, end });
+        self.tell(Input::AttemptEnded { id, attempt, end });
     }
 
     pub fn served(&mut self, id: u64, attempt: u32, status: u16, not_run: bool) {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -635,7 +635,7 @@
                     if w.garbled {
                         self.close(conn, Owner::Proxy(n));
                         let end = AttemptResult::Broken { execution: Execution::MayHaveRun };
-                        let input = dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end };
+                        let input = dispatcher::Input::AttemptEnded { id: c.id, attempt: c.attempt, end };
                         return self.front(n, Some(input));
                     }
                     match c.surplus {
@@ -646,7 +646,10 @@
                     let (headers, body) = (seal.into_bytes(), Vec::new());
                     let served = ServerAnswer { status: w.status, not_run: w.not_run, headers, body };
                     let end = AttemptResult::Answered(served);
-                    self.front(n, Some(dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end }));
+                    self.front(
+                        n,
+                        Some(dispatcher::Input::AttemptEnded { id: c.id, attempt: c.attempt, end }),
+                    );
                 }
             }
             (Kind::Work, Event::Down) => {
@@ -654,7 +657,10 @@
                 if let Some(c) = x.work.remove(&conn) {
                     let execution = if c.sent { Execution::MayHaveRun } else { Execution::NeverRan };
                     let end = AttemptResult::Broken { execution };
-                    self.front(n, Some(dispatcher::Input::Ended { id: c.id, attempt: c.attempt, end }));
+                    self.front(
+                        n,
+                        Some(dispatcher::Input::AttemptEnded { id: c.id, attempt: c.attempt, end }),
+                    );
                 }
             }
             _ => {}
@@ -775,7 +781,7 @@
                 });
                 let Some(to) = x.peers.get(&job.server).and_then(|a| self.server_at(*a)) else {
                     let end = AttemptResult::Broken { execution: Execution::NeverRan };
-                    return Some(dispatcher::Input::Ended { id: job.id, attempt: job.attempt, end });
+                    return Some(dispatcher::Input::AttemptEnded { id: job.id, attempt: job.attempt, end });
                 };
                 let kept = x.idle.get_mut(&job.server).filter(|_| !job.again).and_then(Vec::pop);
                 let conn = kept.unwrap_or_else(|| self.dial(Kind::Work, me, Owner::Server(to)));
