--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -83,7 +83,7 @@
 pub enum Output {
     Send(Job),
     /// Stop waiting for an attempt; its connection is of no more use.
-    GiveUp {
+    CancelAttempt {
         id: u64,
         attempt: u32,
         server: u64,
@@ -570,7 +570,7 @@
         if let (Some(placed), Some(_), None) = (one.placed, late, &open.rehearsed) {
             self.rollouts.ended(placed, open.route, Ended::Failed);
         }
-        out.push(Output::GiveUp { id, attempt, server: one.server, late });
+        out.push(Output::CancelAttempt { id, attempt, server: one.server, late });
         self.back.push_back((id, attempt, outcome));
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -336,7 +336,7 @@
                         self.inbox.post(Told::Ended(id, attempt, end));
                     }
                 }
-                dispatcher::Output::GiveUp { id, attempt, server, late } => {
+                dispatcher::Output::CancelAttempt { id, attempt, server, late } => {
                     if let Some(peer) = self.peers.get(&server) {
                         peer.give_up(id, attempt, late);
                     }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -200,7 +200,7 @@
                     let job = Carried { id, attempt, passage, again, until, note: Note { name, instance } };
                     self.send(server, job);
                 }
-                Output::GiveUp { id, attempt, .. } => {
+                Output::CancelAttempt { id, attempt, .. } => {
                     for conn in self.conns.iter_mut().filter(|c| c.attempt == Some((id, attempt))) {
                         conn.exchange.give_up();
                         (conn.open, conn.attempt) = (false, None);
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -794,7 +794,7 @@
                     Carried { id, attempt, server, work, sent: kept.is_some(), surplus: false },
                 );
             }
-            dispatcher::Output::GiveUp { id, attempt, .. } => {
+            dispatcher::Output::CancelAttempt { id, attempt, .. } => {
                 let found = x.work.iter().find(|(_, c)| c.id == id && c.attempt == attempt).map(|(c, _)| *c);
                 if let Some(conn) = found {
                     x.work.remove(&conn);
