--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -97,7 +97,7 @@
     /// Rehearsed: the connection ends without an answer.
     Close(u64),
     /// A request meets a rehearsed fault; for who keeps the log.
-    Rehearsed {
+    DrillFault {
         id: u64,
         name: Arc<[u8]>,
         met: Met,
@@ -643,7 +643,7 @@
 
     fn strike(&mut self, ask: ClientRequest, met: Met, out: &mut Vec<Output>) {
         let (id, fault) = (ask.id, met.fault.clone());
-        out.push(Output::Rehearsed { id, name: ask.name.clone(), met });
+        out.push(Output::DrillFault { id, name: ask.name.clone(), met });
         match fault {
             Fault::Refused => out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US))),
             Fault::NoServer => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -348,7 +348,7 @@
                     let nothing = dispatcher::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
                     self.reply(id, |a| a.cut = true, nothing);
                 }
-                dispatcher::Output::Rehearsed { name, met, .. } => {
+                dispatcher::Output::DrillFault { name, met, .. } => {
                     let (epoch, fault) = (met.epoch, met.fault.name());
                     log::info!("drill {epoch}: {} meets {fault}", String::from_utf8_lossy(&name));
                 }
