--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -108,7 +108,7 @@
         peer: Peer,
         up: bool,
     },
-    Gone {
+    ServerRemoved {
         server: u64,
     },
 }
@@ -863,7 +863,7 @@
         let gone: Vec<u64> = self.peers.keys().filter(|n| !peers.contains_key(n)).copied().collect();
         for server in gone {
             self.peers.remove(&server);
-            out.push(Output::Gone { server });
+            out.push(Output::ServerRemoved { server });
         }
         for (server, now) in peers {
             if self.peers.get(&server) != Some(&now) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -361,7 +361,7 @@
                         .or_insert_with(|| Peer::start(peer.addr, room.clone(), wire.clone(), settings));
                     known.listed(peer.addr, up);
                 }
-                dispatcher::Output::Gone { server } => {
+                dispatcher::Output::ServerRemoved { server } => {
                     if let Some(peer) = self.peers.remove(&server) {
                         peer.gone();
                     }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -135,7 +135,7 @@
                 Output::Server { server, peer, up } => {
                     self.ids.insert(*server, (peer.id.to_string(), *up));
                 }
-                Output::Gone { server } => _ = self.ids.remove(server),
+                Output::ServerRemoved { server } => _ = self.ids.remove(server),
                 _ => {}
             }
         }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -833,7 +833,7 @@
             dispatcher::Output::Server { server, peer, .. } => {
                 x.peers.insert(server, peer.addr);
             }
-            dispatcher::Output::Gone { server } => {
+            dispatcher::Output::ServerRemoved { server } => {
                 x.peers.remove(&server);
                 for conn in x.idle.remove(&server).unwrap_or_default() {
                     self.close(conn, me);
