--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -184,7 +184,7 @@
     pub refused: u64,
     pub failed: u64,
     pub sent: u64,
-    pub misled: u64,
+    pub wrong_instance: u64,
 }
 
 pub struct Dispatcher {
@@ -458,7 +458,7 @@
             },
         };
         if wrong {
-            self.counts.misled += 1;
+            self.counts.wrong_instance += 1;
             self.book.mislead(server);
             self.relist_at = Some(self.now);
         }
