--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -704,7 +704,7 @@
     }
 
     /// Others should hear soon of what is asked here.
-    pub fn hurries(&mut self) -> bool {
+    pub fn wants_early_report(&mut self) -> bool {
         std::mem::take(&mut self.tenants.hurries) | std::mem::take(&mut self.booked.hurries)
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -536,7 +536,7 @@
             }
         }
         self.show();
-        if self.front.hurries() {
+        if self.front.wants_early_report() {
             self.feed.hurry();
         }
         let rows = self.front.drill_rows(now);
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -688,7 +688,7 @@
         let rows = x.front.drill_rows(now);
         let tallies = x.front.tallies(now);
         let looks = x.asked_at.map_or(Micros::MAX, |_| now + LOOK);
-        if x.front.hurries() {
+        if x.front.wants_early_report() {
             x.feed.hurry();
         }
         let wake = x.front.wake_at().min(x.feed.wake_at()).min(x.watch.wake_at()).min(looks);
