--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -695,7 +695,7 @@
     // ---- the meter ----
 
     /// What is done here for tenants, for the next report.
-    pub fn uses(&mut self, now: Micros) -> Vec<Use> {
+    pub fn tenant_usage(&mut self, now: Micros) -> Vec<Use> {
         let mut uses = self.tenants.uses(now, |plan| self.book.key(plan));
         if !self.cramp.is_empty() {
             uses.extend(self.booked.uses(now, |number| self.cramp.key(number)));
--- a/crates/proxy/tests/cramp.rs
+++ b/crates/proxy/tests/cramp.rs
@@ -256,7 +256,7 @@
             proxy.ask("/get/", Some("k1"));
         }
         proxy.now += SECOND / 3;
-        proxy.front.uses(proxy.now).into_iter().map(|u| (u.tenant, u.wanted)).collect()
+        proxy.front.tenant_usage(proxy.now).into_iter().map(|u| (u.tenant, u.wanted)).collect()
     };
     assert!(!reported(&mut proxy).contains_key(&key));
     proxy.learn(put(booking(12, 0), 0));
