--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -807,7 +807,7 @@
     }
 
     /// When this proxy last held all that was acknowledged, as the feed has it.
-    pub fn fresh(&mut self, now: Micros, at: Option<Micros>) {
+    pub fn set_fresh_at(&mut self, now: Micros, at: Option<Micros>) {
         self.now = self.now.max(now);
         if self.cramp.fresh(self.now, at) && !self.cramp.is_empty() {
             self.look_at = self.now;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -384,7 +384,7 @@
             self.feed.uses(self.front.tenant_usage(now));
         }
         self.feed.handle(now, input, &self.front.copy, &mut self.news);
-        self.front.fresh(now, self.feed.fresh_at());
+        self.front.set_fresh_at(now, self.feed.fresh_at());
         for output in std::mem::take(&mut self.news) {
             match output {
                 feed::Output::Link { link, ip, relay } => self.link(link, ip, relay),
--- a/crates/proxy/tests/cramp.rs
+++ b/crates/proxy/tests/cramp.rs
@@ -220,10 +220,10 @@
                     front.handle(now, Input::News(news), &mut Vec::new());
                 }
                 *at = heard;
-                front.fresh(now, Some(heard));
+                front.set_fresh_at(now, Some(heard));
             }
             if blind {
-                front.fresh(now, Some(now));
+                front.set_fresh_at(now, Some(now));
             }
             front.handle(now, Input::Tick, &mut Vec::new());
         }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -877,7 +877,7 @@
             }
             let mut out = Vec::new();
             x.feed.handle(now, input, &x.front.copy, &mut out);
-            x.front.fresh(now, x.feed.fresh_at());
+            x.front.set_fresh_at(now, x.feed.fresh_at());
             let mut fronts = Vec::new();
             for output in out {
                 match output {
