--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -832,7 +832,7 @@
     }
 
     /// Holds what this state has of bookings, which no news told of: for baselines that agree on nothing.
-    pub fn hold_alone(&mut self, now: Micros, state: &State) {
+    pub fn apply_bookings(&mut self, now: Micros, state: &State) {
         self.now = self.now.max(now);
         self.cramp.learn(self.now, state, false);
         self.look_at = self.now;
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -738,7 +738,7 @@
         for (rev, change) in (1..).zip(changes) {
             state.apply(now, rev, &Command::Book(change));
         }
-        p.machine.front.hold_alone(now, &state);
+        p.machine.front.apply_bookings(now, &state);
         self.front(n, Some(dispatcher::Input::Tick));
     }
 
