--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -267,7 +267,7 @@
         self.config.is_some() && !self.peers.is_empty()
     }
 
-    pub fn requests_open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -528,7 +528,7 @@
                 self.feed.reseed(runtime::seeds(&settings));
             }
             Some(Told::Signal(Asked::Stop)) => {
-                log::info!("asked to end, {} requests open", self.front.requests_open());
+                log::info!("asked to end, {} requests open", self.front.open_requests());
                 self.asked_at.get_or_insert(now);
                 self.shown.draining.store(true, Ordering::Relaxed);
                 self.show();
--- a/crates/proxy/tests/dispatcher.rs
+++ b/crates/proxy/tests/dispatcher.rs
@@ -155,7 +155,7 @@
     proxy.served(id, 0, 503, true);
     proxy.broken(id, 1, Execution::MayHaveRun);
     assert_eq!(proxy.status(), Some(502));
-    assert_eq!(proxy.front.requests_open(), 0);
+    assert_eq!(proxy.front.open_requests(), 0);
 }
 
 #[test]
@@ -260,7 +260,7 @@
     assert_eq!((proxy.status(), proxy.goes_to()), (Some(502), None), "still unsafe");
     proxy.ask("/get/", Some("k1"));
     assert_eq!(proxy.status(), Some(404));
-    assert_eq!(proxy.front.requests_open(), 0);
+    assert_eq!(proxy.front.open_requests(), 0);
 }
 
 #[test]
