--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -16,7 +16,7 @@
 pub enum Input {
     Tick,
     /// The link of this number, of those that were asked for, is up.
-    Linked(u64),
+    Connected(u64),
     Broken(u64),
     Got(u64, Down),
     /// The news that were handed out are in the copy.
@@ -309,7 +309,7 @@
         self.now = self.now.max(now);
         match input {
             Input::Tick => {}
-            Input::Linked(link) => self.linked(link, copy, out),
+            Input::Connected(link) => self.linked(link, copy, out),
             Input::Broken(link) => self.leave(link, out),
             Input::Got(link, down) => self.got(link, down, copy, out),
             Input::Changed => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -507,7 +507,7 @@
             }
             Some(Told::Link(link, event)) => {
                 let input = match event {
-                    Event::Up => feed::Input::Linked(link),
+                    Event::Up => feed::Input::Connected(link),
                     Event::Got(down) => feed::Input::Got(link, down),
                     Event::Down => feed::Input::Broken(link),
                 };
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -76,7 +76,7 @@
     for (told, leaves) in [(None, true), (Some(false), true), (Some(true), false)] {
         let mut feed = feed(&[1, 2]);
         let first = link(&tell(&mut feed, SECOND, Input::Tick)).expect("links at once");
-        tell(&mut feed, SECOND, Input::Linked(1));
+        tell(&mut feed, SECOND, Input::Connected(1));
         tell(&mut feed, SECOND, standing(1, true));
         assert!(feed.was_fresh());
         if leaves {
@@ -95,7 +95,7 @@
 fn a_registry_that_says_that_it_is_cut_off_is_left_at_once_for_one_that_is_not_known_to_be() {
     let mut feed = feed(&[1, 2]);
     let first = link(&tell(&mut feed, SECOND, Input::Tick)).expect("links at once");
-    tell(&mut feed, SECOND, Input::Linked(1));
+    tell(&mut feed, SECOND, Input::Connected(1));
     tell(&mut feed, SECOND, standing(1, true));
     // An election is no reason; a third of a beat of it is.
     tell(&mut feed, SECOND, standing(1, false));
@@ -108,13 +108,13 @@
     let second = link(&tell(&mut feed, now, Input::Tick)).expect("goes on");
     assert_ne!(second, first);
     // One that says so from the beginning is not waited for; where all do, each has its time.
-    tell(&mut feed, now, Input::Linked(2));
+    tell(&mut feed, now, Input::Connected(2));
     let mut met = vec![first, second];
     let mut number = 2;
     while let Some(next) = link(&tell(&mut feed, now, standing(number, false))) {
         number += 1;
         met.push(next);
-        tell(&mut feed, now, Input::Linked(number));
+        tell(&mut feed, now, Input::Connected(number));
     }
     met.sort();
     assert_eq!(met, [ip(1), ip(2), ip(3)], "all were asked, none of them twice");
@@ -126,7 +126,7 @@
     let mut feed = feed(&[1]);
     let mut now = SECOND;
     assert_eq!(link(&tell(&mut feed, now, Input::Tick)), Some(ip(1)), "the only one it knows");
-    tell(&mut feed, now, Input::Linked(1));
+    tell(&mut feed, now, Input::Connected(1));
     tell(&mut feed, now, standing(1, true));
     let mut went = Vec::new();
     for number in 1..=4 {
@@ -134,7 +134,7 @@
         went.extend(link(&tell(&mut feed, now, Input::Broken(number))));
     }
     assert_eq!(went, [ip(3), ip(2), ip(1), ip(3)], "by nearness, then by who failed longest ago");
-    tell(&mut feed, now, Input::Linked(5));
+    tell(&mut feed, now, Input::Connected(5));
     tell(&mut feed, now, standing(5, true));
     // One that does not answer the call is left, too.
     let now = now + 10 * BEAT;
@@ -147,7 +147,7 @@
 fn it_tells_how_far_it_has_come_regularly_and_sooner_where_it_matters() {
     let mut feed = feed(&[1]);
     tell(&mut feed, SECOND, Input::Tick);
-    let out = tell_at(&mut feed, 7, SECOND, Input::Linked(1));
+    let out = tell_at(&mut feed, 7, SECOND, Input::Connected(1));
     assert!(matches!(&out[0], Output::Say(1, Up::Hello { rev: 7, .. })));
     assert_eq!(report(&out), None, "it is asked for the use of tenants first");
     assert_eq!(report(&tell_at(&mut feed, 7, SECOND, Input::Tick)), Some((7, 1)));
@@ -206,7 +206,7 @@
         let mut feed = feed(&[1, 2]);
         let mut now = SECOND;
         link(&tell(&mut feed, now, Input::Tick)).expect("links at once");
-        tell(&mut feed, now, Input::Linked(1));
+        tell(&mut feed, now, Input::Connected(1));
         tell(&mut feed, now, said(1, THERE));
         let greeted = now;
         // Each is said in time, and comes a little later than the one before.
@@ -231,7 +231,7 @@
 fn what_the_first_answer_took_counts_against_it() {
     let mut feed = feed(&[1, 2]);
     tell(&mut feed, SECOND, Input::Tick);
-    tell(&mut feed, SECOND, Input::Linked(1));
+    tell(&mut feed, SECOND, Input::Connected(1));
     let slow = BEAT / 2;
     tell(&mut feed, SECOND + slow, said(1, 5));
     assert_eq!(feed.fresh_at(), Some(SECOND), "it may have been said as soon as it was asked");
@@ -245,7 +245,7 @@
     const THERE: u64 = 90 * SECOND;
     let mut feed = feed(&[1, 2]);
     tell(&mut feed, SECOND, Input::Tick);
-    tell(&mut feed, SECOND, Input::Linked(1));
+    tell(&mut feed, SECOND, Input::Connected(1));
     tell(&mut feed, SECOND, said(1, THERE));
     tell(&mut feed, SECOND, Input::Below(7, Up::Hello { node: node(5, "north-b"), rev: 0 }));
     let now = SECOND + BEAT / 4;
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -242,7 +242,7 @@
         match event {
             Event::Linked(link) => {
                 let Some(((ip, number), _)) = ends(self, link) else { return };
-                self.proxy(ip, Input::Linked(number));
+                self.proxy(ip, Input::Connected(number));
             }
             Event::Down(link, down) => {
                 let Some(((ip, number), _)) = ends(self, link) else { return };
@@ -431,7 +431,7 @@
         let head = Head { epoch: 5, ip: order[0] };
         let mut f = Follower { feed, copy, link: 1, now: 0, head, order };
         f.take(Input::Tick);
-        f.take(Input::Linked(1));
+        f.take(Input::Connected(1));
         let to = |o: &Output| match o {
             Output::Link { link, ip, relay: true } => Some((*link, *ip)),
             _ => None,
@@ -445,7 +445,7 @@
             assert!(f.now < 10 * SECOND, "it would go to the relay");
         };
         assert_eq!(ip, f.order[0]);
-        f.take(Input::Linked(relay));
+        f.take(Input::Connected(relay));
         f.link = relay;
         let out = f.take(Input::Got(relay, Down::Standing(standing(0, vec![ip], f.head))));
         assert!(out.iter().any(|o| matches!(o, Output::Unlink(1))), "the registry is left only now");
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -580,7 +580,7 @@
             (Kind::News | Kind::Relay, event) => {
                 let Some(link) = x.lines.iter().find(|(_, c)| **c == conn).map(|(l, _)| *l) else { return };
                 let input = match event {
-                    Event::Up => feed::Input::Linked(link),
+                    Event::Up => feed::Input::Connected(link),
                     Event::Got(body) => match read::<Down>(&body) {
                         Some(down) => feed::Input::Got(link, down),
                         None => return,
