--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -17,7 +17,7 @@
     Tick,
     /// The link of this number, of those that were asked for, is up.
     Connected(u64),
-    Broken(u64),
+    Disconnected(u64),
     Got(u64, Down),
     /// The news that were handed out are in the copy.
     Changed,
@@ -310,7 +310,7 @@
         match input {
             Input::Tick => {}
             Input::Connected(link) => self.linked(link, copy, out),
-            Input::Broken(link) => self.leave(link, out),
+            Input::Disconnected(link) => self.leave(link, out),
             Input::Got(link, down) => self.got(link, down, copy, out),
             Input::Changed => {
                 self.reorder(copy);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -509,7 +509,7 @@
                 let input = match event {
                     Event::Up => feed::Input::Connected(link),
                     Event::Got(down) => feed::Input::Got(link, down),
-                    Event::Down => feed::Input::Broken(link),
+                    Event::Down => feed::Input::Disconnected(link),
                 };
                 self.feed(now, input);
             }
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -131,14 +131,14 @@
     let mut went = Vec::new();
     for number in 1..=4 {
         now += 1000;
-        went.extend(link(&tell(&mut feed, now, Input::Broken(number))));
+        went.extend(link(&tell(&mut feed, now, Input::Disconnected(number))));
     }
     assert_eq!(went, [ip(3), ip(2), ip(1), ip(3)], "by nearness, then by who failed longest ago");
     tell(&mut feed, now, Input::Connected(5));
     tell(&mut feed, now, standing(5, true));
     // One that does not answer the call is left, too.
     let now = now + 10 * BEAT;
-    assert_eq!(link(&tell(&mut feed, now, Input::Broken(5))), Some(ip(2)));
+    assert_eq!(link(&tell(&mut feed, now, Input::Disconnected(5))), Some(ip(2)));
     let (to, took) = left_after(&mut feed, now, || None);
     assert!(to == ip(1) && took <= BEAT, "{to} {took}");
 }
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -256,7 +256,7 @@
                     self.proxy(to, Input::Below(link, up));
                 }
             }
-            Event::ChildLoses(wire) => self.proxy(wire.child.0, Input::Broken(wire.child.1)),
+            Event::ChildLoses(wire) => self.proxy(wire.child.0, Input::Disconnected(wire.child.1)),
             Event::OtherLoses(link, wire) if self.boards.contains_key(&wire.to) => {
                 self.board(wire.to, board::Input::ProxyDown(link));
             }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -585,7 +585,7 @@
                         Some(down) => feed::Input::Got(link, down),
                         None => return,
                     },
-                    Event::Down => feed::Input::Broken(link),
+                    Event::Down => feed::Input::Disconnected(link),
                     Event::Taken(_) => return,
                 };
                 self.feed(n, Some(input));
