--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -18,7 +18,7 @@
     /// The link of this number, of those that were asked for, is up.
     Connected(u64),
     Disconnected(u64),
-    Got(u64, Down),
+    Received(u64, Down),
     /// The news that were handed out are in the copy.
     Changed,
     /// From a link of a follower.
@@ -311,7 +311,7 @@
             Input::Tick => {}
             Input::Connected(link) => self.linked(link, copy, out),
             Input::Disconnected(link) => self.leave(link, out),
-            Input::Got(link, down) => self.got(link, down, copy, out),
+            Input::Received(link, down) => self.got(link, down, copy, out),
             Input::Changed => {
                 self.reorder(copy);
                 self.relay.feed(self.now, copy, |link, down| out.push(Output::Tell(link, down)));
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -508,7 +508,7 @@
             Some(Told::Link(link, event)) => {
                 let input = match event {
                     Event::Up => feed::Input::Connected(link),
-                    Event::Got(down) => feed::Input::Got(link, down),
+                    Event::Got(down) => feed::Input::Received(link, down),
                     Event::Down => feed::Input::Disconnected(link),
                 };
                 self.feed(now, input);
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -43,7 +43,7 @@
     let core = vec![(ip(1), "south-a".into()), (ip(2), "north-a".into()), (ip(3), "north-b".into())];
     let (path, away) = (Vec::new(), Vec::new());
     let fresh_ms = fresh.then_some(0);
-    Input::Got(
+    Input::Received(
         link,
         Down::Standing(Standing { rev: 0, fresh_ms, core, path, head: None, away, said_at: None }),
     )
@@ -152,7 +152,7 @@
     assert_eq!(report(&out), None, "it is asked for the use of tenants first");
     assert_eq!(report(&tell_at(&mut feed, 7, SECOND, Input::Tick)), Some((7, 1)));
     let news = News::Run { from: 7, to: 9, commands: Vec::new() };
-    let out = tell_at(&mut feed, 7, SECOND + 10_000, Input::Got(1, Down::News(news)));
+    let out = tell_at(&mut feed, 7, SECOND + 10_000, Input::Received(1, Down::News(news)));
     assert!(matches!(out[..], [Output::News(News::Run { from: 7, to: 9, .. })]));
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 20_000, Input::Changed)), None);
     feed.hurry();
@@ -190,7 +190,7 @@
     let core = vec![(ip(1), "south-a".into()), (ip(2), "north-a".into()), (ip(3), "north-b".into())];
     let (path, away) = (Vec::new(), Vec::new());
     let said_at = Some(said_at);
-    Input::Got(
+    Input::Received(
         link,
         Down::Standing(Standing { rev: 0, fresh_ms: Some(0), core, path, head: None, away, said_at }),
     )
@@ -255,7 +255,7 @@
     let made_at = now - waited - already;
     let old = Some(Age { at: THERE + BEAT / 4 - waited, age_us: already });
     for down in [Down::Meter(Vec::new(), old), Down::Leases(Vec::new(), old)] {
-        let out = tell(&mut feed, now, Input::Got(1, down));
+        let out = tell(&mut feed, now, Input::Received(1, down));
         let taken = out.iter().find_map(|o| match o {
             Output::Meter(_, at) | Output::Leases(_, at) => Some(*at),
             _ => None,
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -246,7 +246,7 @@
             }
             Event::Down(link, down) => {
                 let Some(((ip, number), _)) = ends(self, link) else { return };
-                self.proxy(ip, Input::Got(number, down));
+                self.proxy(ip, Input::Received(number, down));
             }
             Event::Up(link, up) => {
                 let Some((_, to)) = ends(self, link) else { return };
@@ -437,7 +437,7 @@
             _ => None,
         };
         let (relay, ip) = loop {
-            let out = f.take(Input::Got(1, Down::Standing(standing(0, vec![], f.head))));
+            let out = f.take(Input::Received(1, Down::Standing(standing(0, vec![], f.head))));
             if let Some(found) = out.iter().find_map(to) {
                 break found;
             }
@@ -447,7 +447,7 @@
         assert_eq!(ip, f.order[0]);
         f.take(Input::Connected(relay));
         f.link = relay;
-        let out = f.take(Input::Got(relay, Down::Standing(standing(0, vec![ip], f.head))));
+        let out = f.take(Input::Received(relay, Down::Standing(standing(0, vec![ip], f.head))));
         assert!(out.iter().any(|o| matches!(o, Output::Unlink(1))), "the registry is left only now");
         f
     }
@@ -460,7 +460,7 @@
 
     /// Whether it goes to the registry when the relay says this.
     fn leaves(&mut self, said: Standing) -> bool {
-        let out = self.take(Input::Got(self.link, Down::Standing(said)));
+        let out = self.take(Input::Received(self.link, Down::Standing(said)));
         out.iter().any(|o| matches!(o, Output::Link { ip, relay: false, .. } if *ip == core(1)))
     }
 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -582,7 +582,7 @@
                 let input = match event {
                     Event::Up => feed::Input::Connected(link),
                     Event::Got(body) => match read::<Down>(&body) {
-                        Some(down) => feed::Input::Got(link, down),
+                        Some(down) => feed::Input::Received(link, down),
                         None => return,
                     },
                     Event::Down => feed::Input::Disconnected(link),
