--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -20,7 +20,7 @@
     Disconnected(u64),
     Received(u64, Down),
     /// The news that were handed out are in the copy.
-    Changed,
+    CopyChanged,
     /// From a link of a follower.
     Below(u64, Up),
     BelowGone(u64),
@@ -312,7 +312,7 @@
             Input::Connected(link) => self.linked(link, copy, out),
             Input::Disconnected(link) => self.leave(link, out),
             Input::Received(link, down) => self.got(link, down, copy, out),
-            Input::Changed => {
+            Input::CopyChanged => {
                 self.reorder(copy);
                 self.relay.feed(self.now, copy, |link, down| out.push(Output::Tell(link, down)));
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -420,7 +420,7 @@
                     if state.version() != version {
                         log::info!("version {} is in force, revision {}", state.version(), state.rev);
                     }
-                    self.feed(now, feed::Input::Changed);
+                    self.feed(now, feed::Input::CopyChanged);
                     self.watch.set_nodes(now, &self.front.copy.state.nodes);
                     self.show();
                 }
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -154,7 +154,7 @@
     let news = News::Run { from: 7, to: 9, commands: Vec::new() };
     let out = tell_at(&mut feed, 7, SECOND + 10_000, Input::Received(1, Down::News(news)));
     assert!(matches!(out[..], [Output::News(News::Run { from: 7, to: 9, .. })]));
-    assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 20_000, Input::Changed)), None);
+    assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 20_000, Input::CopyChanged)), None);
     feed.hurry();
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 100_000, Input::Tick)), Some((9, 2)));
     feed.hurry();
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -196,7 +196,7 @@
             for output in some {
                 if let Output::News(news) = output {
                     proxy.copy.take(self.now, news);
-                    inputs.push(Input::Changed);
+                    inputs.push(Input::CopyChanged);
                 } else {
                     out.push(output);
                 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -930,7 +930,7 @@
                 if let Some(p) = self.proxies[n].as_mut().filter(|_| news) {
                     let now = p.started;
                     p.machine.watch.set_nodes(self.now - now, &p.machine.front.copy.state.nodes);
-                    inputs.push_back(feed::Input::Changed);
+                    inputs.push_back(feed::Input::CopyChanged);
                 }
             }
         }
