--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -22,7 +22,7 @@
     /// The news that were handed out are in the copy.
     CopyChanged,
     /// From a link of a follower.
-    Below(u64, Up),
+    FromFollower(u64, Up),
     BelowGone(u64),
     /// This proxy ends in order: followers go elsewhere at once.
     Ends,
@@ -316,7 +316,7 @@
                 self.reorder(copy);
                 self.relay.feed(self.now, copy, |link, down| out.push(Output::Tell(link, down)));
             }
-            Input::Below(link, up) => self.below(link, up, copy, out),
+            Input::FromFollower(link, up) => self.below(link, up, copy, out),
             Input::Drill(rows) => self.pass_up(Up::Drill(rows), out),
             Input::Rollout(tallies) => self.pass_up(Up::Rollout(tallies), out),
             Input::BelowGone(link) => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -516,7 +516,9 @@
             Some(Told::FollowerTaken(line)) => {
                 self.followers.insert(line.number, line);
             }
-            Some(Told::FollowerSays(link, Event::Got(up))) => self.feed(now, feed::Input::Below(link, up)),
+            Some(Told::FollowerSays(link, Event::Got(up))) => {
+                self.feed(now, feed::Input::FromFollower(link, up))
+            }
             Some(Told::FollowerSays(link, Event::Down)) => {
                 self.followers.remove(&link);
                 self.feed(now, feed::Input::BelowGone(link));
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -247,7 +247,7 @@
     tell(&mut feed, SECOND, Input::Tick);
     tell(&mut feed, SECOND, Input::Connected(1));
     tell(&mut feed, SECOND, said(1, THERE));
-    tell(&mut feed, SECOND, Input::Below(7, Up::Hello { node: node(5, "north-b"), rev: 0 }));
+    tell(&mut feed, SECOND, Input::FromFollower(7, Up::Hello { node: node(5, "north-b"), rev: 0 }));
     let now = SECOND + BEAT / 4;
     // Made a tenth of a second before it was said, and 50 ms on its way.
     let already = SECOND / 10;
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -253,7 +253,7 @@
                 if self.boards.contains_key(&to) {
                     self.board(to, board::Input::Proxy(link, up));
                 } else {
-                    self.proxy(to, Input::Below(link, up));
+                    self.proxy(to, Input::FromFollower(link, up));
                 }
             }
             Event::ChildLoses(wire) => self.proxy(wire.child.0, Input::Disconnected(wire.child.1)),
@@ -497,7 +497,7 @@
 
     let mut f = Follower::new();
     let up = Up::Hello { node: f.copy.state.nodes[&f.order[0]].clone(), rev: 1 };
-    let out = f.take(Input::Below(77, up));
+    let out = f.take(Input::FromFollower(77, up));
     assert!(out.iter().any(|o| matches!(o, Output::Refuse(77))), "whom it follows cannot follow it");
 }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -571,7 +571,7 @@
                 x.followers.insert(conn);
             }
             (Kind::Relay, Event::Got(body)) if x.followers.contains(&conn) => {
-                let input = read::<Up>(&body).map(|up| feed::Input::Below(conn, up));
+                let input = read::<Up>(&body).map(|up| feed::Input::FromFollower(conn, up));
                 self.feed(n, input);
             }
             (Kind::Relay, Event::Down) if x.followers.remove(&conn) => {
