--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -23,7 +23,7 @@
     CopyChanged,
     /// From a link of a follower.
     FromFollower(u64, Up),
-    BelowGone(u64),
+    FollowerGone(u64),
     /// This proxy ends in order: followers go elsewhere at once.
     Ends,
     /// To go up: what is to be said of drills.
@@ -319,7 +319,7 @@
             Input::FromFollower(link, up) => self.below(link, up, copy, out),
             Input::Drill(rows) => self.pass_up(Up::Drill(rows), out),
             Input::Rollout(tallies) => self.pass_up(Up::Rollout(tallies), out),
-            Input::BelowGone(link) => {
+            Input::FollowerGone(link) => {
                 self.relay.followers.gone(link);
             }
             Input::Ends => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -521,7 +521,7 @@
             }
             Some(Told::FollowerSays(link, Event::Down)) => {
                 self.followers.remove(&link);
-                self.feed(now, feed::Input::BelowGone(link));
+                self.feed(now, feed::Input::FollowerGone(link));
             }
             Some(Told::FollowerSays(_, Event::Up)) => {}
             Some(Told::Here(from, here)) => self.watch.heartbeat_received(now, from, here),
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -260,7 +260,7 @@
             Event::OtherLoses(link, wire) if self.boards.contains_key(&wire.to) => {
                 self.board(wire.to, board::Input::ProxyDown(link));
             }
-            Event::OtherLoses(link, wire) => self.proxy(wire.to, Input::BelowGone(link)),
+            Event::OtherLoses(link, wire) => self.proxy(wire.to, Input::FollowerGone(link)),
             Event::Peer(to, gossip) => self.board(to, board::Input::Peer(gossip)),
         }
     }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -575,7 +575,7 @@
                 self.feed(n, input);
             }
             (Kind::Relay, Event::Down) if x.followers.remove(&conn) => {
-                self.feed(n, Some(feed::Input::BelowGone(conn)));
+                self.feed(n, Some(feed::Input::FollowerGone(conn)));
             }
             (Kind::News | Kind::Relay, event) => {
                 let Some(link) = x.lines.iter().find(|(_, c)| **c == conn).map(|(l, _)| *l) else { return };
