--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -25,7 +25,7 @@
     FromFollower(u64, Up),
     FollowerGone(u64),
     /// This proxy ends in order: followers go elsewhere at once.
-    Ends,
+    Shutdown,
     /// To go up: what is to be said of drills.
     Drill(Vec<Rows>),
     /// To go up: what was counted of rollouts.
@@ -322,7 +322,7 @@
             Input::FollowerGone(link) => {
                 self.relay.followers.gone(link);
             }
-            Input::Ends => {
+            Input::Shutdown => {
                 self.ended = true;
                 for link in self.relay.followers.links().collect::<Vec<_>>() {
                     self.refuse(link, out);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -534,7 +534,7 @@
                 self.asked_at.get_or_insert(now);
                 self.shown.draining.store(true, Ordering::Relaxed);
                 self.show();
-                self.feed(now, feed::Input::Ends);
+                self.feed(now, feed::Input::Shutdown);
             }
         }
         self.show();
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -380,7 +380,7 @@
     let mut world = World::new(1, 20);
     world.run(15 * SECOND);
     let head = world.epoch("north").ip;
-    world.proxy(head, Input::Ends);
+    world.proxy(head, Input::Shutdown);
     world.run(100 * MS);
     assert!(world.live().all(|p| p.feed.follows().is_some_and(|f| f.0 != head)));
 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -333,7 +333,7 @@
                 if let Some(p) = &mut self.proxies[n] {
                     let now = p.clock(self.now);
                     p.machine.asked_at.get_or_insert(now);
-                    self.feed(n, Some(feed::Input::Ends));
+                    self.feed(n, Some(feed::Input::Shutdown));
                 }
             }
             _ => {}
