--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub enum Output {
     /// Link to the registry, or to the relay, on that machine.
-    Link {
+    Connect {
         link: u64,
         ip: Ipv4Addr,
         relay: bool,
@@ -475,7 +475,7 @@
     fn link(&mut self, ip: Ipv4Addr, relay: bool, out: &mut Vec<Output>) -> Parent {
         self.links += 1;
         let (link, since) = (self.links, self.now);
-        out.push(Output::Link { link, ip, relay });
+        out.push(Output::Connect { link, ip, relay });
         let others = !relay && self.others(ip);
         Parent {
             link,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -387,7 +387,7 @@
         self.front.set_fresh_at(now, self.feed.fresh_at());
         for output in std::mem::take(&mut self.news) {
             match output {
-                feed::Output::Link { link, ip, relay } => self.link(link, ip, relay),
+                feed::Output::Connect { link, ip, relay } => self.link(link, ip, relay),
                 feed::Output::Unlink(link) => {
                     if self.lines.remove(&link).is_some() {
                         log::info!("leaves whom it follows by link {link}");
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -35,7 +35,7 @@
 }
 
 fn link(out: &[Output]) -> Option<Ipv4Addr> {
-    out.iter().find_map(|o| if let Output::Link { ip, .. } = o { Some(*ip) } else { None })
+    out.iter().find_map(|o| if let Output::Connect { ip, .. } = o { Some(*ip) } else { None })
 }
 
 /// Of the registry that is followed by this link; they are numbered from 1.
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -205,7 +205,7 @@
         self.proxies.insert(ip, proxy);
         for output in out {
             match output {
-                Output::Link { link, ip: to, relay } => {
+                Output::Connect { link, ip: to, relay } => {
                     assert_eq!(relay, !self.boards.contains_key(&to));
                     self.numbers += 1;
                     let (number, child) = (self.numbers, (ip, link));
@@ -433,7 +433,7 @@
         f.take(Input::Tick);
         f.take(Input::Connected(1));
         let to = |o: &Output| match o {
-            Output::Link { link, ip, relay: true } => Some((*link, *ip)),
+            Output::Connect { link, ip, relay: true } => Some((*link, *ip)),
             _ => None,
         };
         let (relay, ip) = loop {
@@ -461,7 +461,7 @@
     /// Whether it goes to the registry when the relay says this.
     fn leaves(&mut self, said: Standing) -> bool {
         let out = self.take(Input::Received(self.link, Down::Standing(said)));
-        out.iter().any(|o| matches!(o, Output::Link { ip, relay: false, .. } if *ip == core(1)))
+        out.iter().any(|o| matches!(o, Output::Connect { ip, relay: false, .. } if *ip == core(1)))
     }
 }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -881,7 +881,7 @@
             let mut fronts = Vec::new();
             for output in out {
                 match output {
-                    feed::Output::Link { link, ip, relay } => {
+                    feed::Output::Connect { link, ip, relay } => {
                         let conn = match relay {
                             true => self.relay_at(ip).map(|to| self.dial(Kind::Relay, me, Owner::Proxy(to))),
                             false => {
