--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -40,7 +40,7 @@
         ip: Ipv4Addr,
         relay: bool,
     },
-    Unlink(u64),
+    Disconnect(u64),
     Say(u64, Up),
     News(News),
     /// With when they were made, at the least.
@@ -416,7 +416,7 @@
         }
         if self.next.as_ref().is_some_and(|p| p.link == link && p.proved && now < self.patience(p)) {
             let before = std::mem::replace(&mut self.parent, self.next.take());
-            out.extend(before.map(|p| Output::Unlink(p.link)));
+            out.extend(before.map(|p| Output::Disconnect(p.link)));
             self.report_at = now;
         }
         if self.parent.as_ref().is_some_and(|p| p.link == link) {
@@ -444,7 +444,7 @@
         for p in [&mut self.parent, &mut self.next] {
             if let Some(p) = p.take_if(|p| p.link == link) {
                 self.failed.insert(p.ip, self.now);
-                out.push(Output::Unlink(p.link));
+                out.push(Output::Disconnect(p.link));
             }
         }
     }
@@ -459,7 +459,7 @@
         if self.parent.is_none() {
             // Not a relay that has shown nothing yet: a dead one would cost a second time.
             let next = self.next.take();
-            out.extend(next.iter().filter(|p| p.relay).map(|p| Output::Unlink(p.link)));
+            out.extend(next.iter().filter(|p| p.relay).map(|p| Output::Disconnect(p.link)));
             self.parent = next.filter(|p| !p.relay);
         }
         if self.parent.is_none() {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -388,7 +388,7 @@
         for output in std::mem::take(&mut self.news) {
             match output {
                 feed::Output::Connect { link, ip, relay } => self.link(link, ip, relay),
-                feed::Output::Unlink(link) => {
+                feed::Output::Disconnect(link) => {
                     if self.lines.remove(&link).is_some() {
                         log::info!("leaves whom it follows by link {link}");
                     }
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -214,7 +214,7 @@
                         self.post(2 * self.delay(ip, to), Event::Linked(number));
                     }
                 }
-                Output::Unlink(link) => {
+                Output::Disconnect(link) => {
                     let found = self.wires.iter().find(|(_, w)| w.child == (ip, link)).map(|(n, _)| *n);
                     if let Some(number) = found {
                         self.end(number, true);
@@ -448,7 +448,7 @@
         f.take(Input::Connected(relay));
         f.link = relay;
         let out = f.take(Input::Received(relay, Down::Standing(standing(0, vec![ip], f.head))));
-        assert!(out.iter().any(|o| matches!(o, Output::Unlink(1))), "the registry is left only now");
+        assert!(out.iter().any(|o| matches!(o, Output::Disconnect(1))), "the registry is left only now");
         f
     }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -890,7 +890,7 @@
                         };
                         x.lines.extend(conn.map(|conn| (link, conn)));
                     }
-                    feed::Output::Unlink(link) => {
+                    feed::Output::Disconnect(link) => {
                         if let Some(conn) = x.lines.remove(&link) {
                             self.close(conn, me);
                         }
