--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -41,7 +41,7 @@
         relay: bool,
     },
     Disconnect(u64),
-    Say(u64, Up),
+    SendUp(u64, Up),
     News(News),
     /// With when they were made, at the least.
     Meter(Vec<Reading>, Micros),
@@ -344,7 +344,7 @@
         for (p, followed) in [(&mut self.parent, true), (&mut self.next, false)] {
             let Some(p) = p.as_mut().filter(|p| p.link == link) else { continue };
             (p.linked, p.linked_at, p.heard_at, p.fresh_at) = (true, now, now, now);
-            out.push(Output::Say(link, Up::Hello { node: self.node.clone(), rev: copy.rev() }));
+            out.push(Output::SendUp(link, Up::Hello { node: self.node.clone(), rev: copy.rev() }));
             if followed {
                 self.report_at = now;
             }
@@ -577,13 +577,13 @@
         let (mut seen, mut usage) = self.relay.gathered(self.now);
         seen.push(Seen { ip, life, count, ready, rev, suspects: self.suspects.clone() });
         usage.push(Usage { ip, life, count, tenants });
-        out.push(Output::Say(p.link, Up::Report { rev, head: self.head, seen, usage }));
+        out.push(Output::SendUp(p.link, Up::Report { rev, head: self.head, seen, usage }));
     }
 
     /// What is not taken is said again by who said it.
     fn pass_up(&self, up: Up, out: &mut Vec<Output>) {
         if let Some(p) = self.parent.as_ref().filter(|p| p.linked) {
-            out.push(Output::Say(p.link, up));
+            out.push(Output::SendUp(p.link, up));
         }
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -393,7 +393,7 @@
                         log::info!("leaves whom it follows by link {link}");
                     }
                 }
-                feed::Output::Say(link, up) => {
+                feed::Output::SendUp(link, up) => {
                     if let Some(line) = self.lines.get(&link) {
                         line.send(&up);
                     }
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -51,7 +51,7 @@
 
 fn report(out: &[Output]) -> Option<(u64, u64)> {
     out.iter().find_map(|o| match o {
-        Output::Say(_, Up::Report { rev, seen, .. }) => Some((*rev, seen[0].count)),
+        Output::SendUp(_, Up::Report { rev, seen, .. }) => Some((*rev, seen[0].count)),
         _ => None,
     })
 }
@@ -148,7 +148,7 @@
     let mut feed = feed(&[1]);
     tell(&mut feed, SECOND, Input::Tick);
     let out = tell_at(&mut feed, 7, SECOND, Input::Connected(1));
-    assert!(matches!(&out[0], Output::Say(1, Up::Hello { rev: 7, .. })));
+    assert!(matches!(&out[0], Output::SendUp(1, Up::Hello { rev: 7, .. })));
     assert_eq!(report(&out), None, "it is asked for the use of tenants first");
     assert_eq!(report(&tell_at(&mut feed, 7, SECOND, Input::Tick)), Some((7, 1)));
     let news = News::Run { from: 7, to: 9, commands: Vec::new() };
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -220,7 +220,7 @@
                         self.end(number, true);
                     }
                 }
-                Output::Say(link, up) => {
+                Output::SendUp(link, up) => {
                     let found = self.wires.iter().find(|(_, w)| w.child == (ip, link));
                     if let Up::Report { usage, .. } = &up {
                         assert!(usage.iter().all(|u| u.tenants == [USE]), "a report that tells no use");
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -895,7 +895,7 @@
                             self.close(conn, me);
                         }
                     }
-                    feed::Output::Say(link, up) => {
+                    feed::Output::SendUp(link, up) => {
                         if let Some(conn) = x.lines.get(&link) {
                             self.send(*conn, me, frame(&up));
                         }
