--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -47,7 +47,7 @@
     Meter(Vec<Reading>, Micros),
     Leases(Vec<Lease>, Micros),
     /// To a follower; and one that is to go.
-    Tell(u64, Down),
+    SendDown(u64, Down),
     Refuse(u64),
 }
 
@@ -314,7 +314,7 @@
             Input::Received(link, down) => self.got(link, down, copy, out),
             Input::CopyChanged => {
                 self.reorder(copy);
-                self.relay.feed(self.now, copy, |link, down| out.push(Output::Tell(link, down)));
+                self.relay.feed(self.now, copy, |link, down| out.push(Output::SendDown(link, down)));
             }
             Input::FromFollower(link, up) => self.below(link, up, copy, out),
             Input::Drill(rows) => self.pass_up(Up::Drill(rows), out),
@@ -387,7 +387,7 @@
     }
 
     fn pass_down(&self, down: Down, out: &mut Vec<Output>) {
-        out.extend(self.relay.followers.links().map(|link| Output::Tell(link, down.clone())));
+        out.extend(self.relay.followers.links().map(|link| Output::SendDown(link, down.clone())));
     }
 
     fn standing(&mut self, link: u64, s: Standing, copy: &Copy, out: &mut Vec<Output>) {
@@ -597,7 +597,7 @@
                     return self.refuse(link, out);
                 }
                 self.relay.hello(link, node, rev, until);
-                out.push(Output::Tell(link, Down::Standing(self.stands(copy, true))));
+                out.push(Output::SendDown(link, Down::Standing(self.stands(copy, true))));
                 self.tell_at = self.tell_at.min(self.now + self.part() * RELAY_SPEAKS / 100);
             }
             Up::Report { rev, seen, usage, .. } => {
@@ -610,7 +610,7 @@
             }
             up @ (Up::Drill(_) | Up::Rollout(_)) => self.pass_up(up, out),
         }
-        self.relay.feed(self.now, copy, |link, down| out.push(Output::Tell(link, down)));
+        self.relay.feed(self.now, copy, |link, down| out.push(Output::SendDown(link, down)));
     }
 
     /// Whether this one may follow here.
@@ -647,7 +647,7 @@
         if followed {
             let standing = Down::Standing(self.stands(copy, whole));
             let links = self.relay.followers.links();
-            out.extend(links.map(|link| Output::Tell(link, standing.clone())));
+            out.extend(links.map(|link| Output::SendDown(link, standing.clone())));
         }
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -399,7 +399,7 @@
                     }
                     self.watch(now, true);
                 }
-                feed::Output::Tell(link, down) => {
+                feed::Output::SendDown(link, down) => {
                     if let Some(line) = self.followers.get(&link) {
                         line.send(&down);
                     }
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -262,7 +262,7 @@
         });
         assert_eq!(taken, Some(made_at));
         let passed = out.iter().find_map(|o| match o {
-            Output::Tell(7, Down::Meter(_, said) | Down::Leases(_, said)) => *said,
+            Output::SendDown(7, Down::Meter(_, said) | Down::Leases(_, said)) => *said,
             _ => None,
         });
         assert_eq!(passed, Some(Age { at: now, age_us: waited + already }));
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -230,7 +230,7 @@
                         self.post(self.delay(ip, to), Event::Up(number, up));
                     }
                 }
-                Output::Tell(link, down) => self.down(link, down),
+                Output::SendDown(link, down) => self.down(link, down),
                 Output::Refuse(link) => self.end(link, false),
                 Output::News(_) | Output::Meter(..) | Output::Leases(..) => {}
             }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -901,7 +901,7 @@
                         }
                         self.watch(n, x, now, true);
                     }
-                    feed::Output::Tell(conn, down) => {
+                    feed::Output::SendDown(conn, down) => {
                         if x.followers.contains(&conn) {
                             self.send(conn, me, frame(&down));
                         }
