--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -48,7 +48,7 @@
     Leases(Vec<Lease>, Micros),
     /// To a follower; and one that is to go.
     SendDown(u64, Down),
-    Refuse(u64),
+    DropFollower(u64),
 }
 
 /// Who is followed is given up after so many of its messages have not come.
@@ -622,7 +622,7 @@
 
     fn refuse(&mut self, link: u64, out: &mut Vec<Output>) {
         self.relay.followers.gone(link);
-        out.push(Output::Refuse(link));
+        out.push(Output::DropFollower(link));
     }
 
     fn stands(&self, copy: &Copy, whole: bool) -> Standing {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -404,7 +404,7 @@
                         line.send(&down);
                     }
                 }
-                feed::Output::Refuse(link) => {
+                feed::Output::DropFollower(link) => {
                     self.followers.remove(&link);
                 }
                 feed::Output::Meter(readings, made_at) => {
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -231,7 +231,7 @@
                     }
                 }
                 Output::SendDown(link, down) => self.down(link, down),
-                Output::Refuse(link) => self.end(link, false),
+                Output::DropFollower(link) => self.end(link, false),
                 Output::News(_) | Output::Meter(..) | Output::Leases(..) => {}
             }
         }
@@ -498,7 +498,7 @@
     let mut f = Follower::new();
     let up = Up::Hello { node: f.copy.state.nodes[&f.order[0]].clone(), rev: 1 };
     let out = f.take(Input::FromFollower(77, up));
-    assert!(out.iter().any(|o| matches!(o, Output::Refuse(77))), "whom it follows cannot follow it");
+    assert!(out.iter().any(|o| matches!(o, Output::DropFollower(77))), "whom it follows cannot follow it");
 }
 
 #[test]
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -906,7 +906,7 @@
                             self.send(conn, me, frame(&down));
                         }
                     }
-                    feed::Output::Refuse(conn) => {
+                    feed::Output::DropFollower(conn) => {
                         if x.followers.remove(&conn) {
                             self.close(conn, me);
                         }
