--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    pub fn reseed(&mut self, seeds: Vec<Ipv4Addr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -527,7 +527,7 @@
             Some(Told::Here(from, here)) => self.watch.heartbeat_received(now, from, here),
             Some(Told::Signal(Asked::Settings(settings))) => {
                 log::info!("settings are read again");
-                self.feed.reseed(runtime::seeds(&settings));
+                self.feed.set_seeds(runtime::seeds(&settings));
             }
             Some(Told::Signal(Asked::Stop)) => {
                 log::info!("asked to end, {} requests open", self.front.open_requests());
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -942,7 +942,7 @@
         if let Owner::Proxy(n) = owner
             && let Some(p) = &mut self.proxies[n]
         {
-            p.machine.feed.reseed(self.seeds.clone());
+            p.machine.feed.set_seeds(self.seeds.clone());
         }
     }
 
