--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -212,7 +212,7 @@
     }
 
     /// Has followed somebody who held all that was acknowledged.
-    pub fn was_fresh(&self) -> bool {
+    pub fn has_been_fresh(&self) -> bool {
         self.fresh_at.is_some()
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -462,7 +462,7 @@
             self.shown.header_wait_us.store(limits.header_wait_ms * 1000, Ordering::Relaxed);
             self.shown.idle_us.store(limits.idle_limit_ms * 1000, Ordering::Relaxed);
         }
-        let ready = self.front.ready() && self.feed.was_fresh() && self.asked_at.is_none();
+        let ready = self.front.ready() && self.feed.has_been_fresh() && self.asked_at.is_none();
         if self.shown.ready.swap(ready, Ordering::Relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -78,7 +78,7 @@
         let first = link(&tell(&mut feed, SECOND, Input::Tick)).expect("links at once");
         tell(&mut feed, SECOND, Input::Connected(1));
         tell(&mut feed, SECOND, standing(1, true));
-        assert!(feed.was_fresh());
+        assert!(feed.has_been_fresh());
         if leaves {
             let (to, took) = left_after(&mut feed, SECOND, || told.map(|fresh| standing(1, fresh)));
             assert!(to != first && took <= BEAT + BEAT / 4, "{told:?}: {took}");
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -188,7 +188,7 @@
         let (mut out, mut inputs) = (Vec::new(), vec![input]);
         while let Some(input) = inputs.pop() {
             let mut some = Vec::new();
-            proxy.feed.ready = proxy.feed.was_fresh();
+            proxy.feed.ready = proxy.feed.has_been_fresh();
             if proxy.feed.reports(self.now) {
                 proxy.feed.uses(vec![USE]);
             }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -847,7 +847,7 @@
     fn show(&mut self, p: &mut Process<Proxy>) -> bool {
         let now = p.clock(self.now);
         let x = &mut p.machine;
-        let ready = x.front.ready() && x.feed.was_fresh() && x.asked_at.is_none();
+        let ready = x.front.ready() && x.feed.has_been_fresh() && x.asked_at.is_none();
         if x.feed.ready != ready {
             x.feed.ready = ready;
             x.feed.hurry();
