--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -222,7 +222,7 @@
     }
 
     /// The one who is followed, and through how many relays its news come.
-    pub fn follows(&self) -> Option<(Ipv4Addr, usize)> {
+    pub fn source(&self) -> Option<(Ipv4Addr, usize)> {
         self.parent.as_ref().filter(|p| p.proved).map(|p| (p.ip, p.path.len()))
     }
 
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -299,7 +299,7 @@
     /// The proxies of a region that follow a registry.
     fn heads(&self, region: &str) -> Vec<Ipv4Addr> {
         let here = self.live().filter(|p| p.node.region == region);
-        here.filter(|p| p.feed.follows().is_none_or(|f| f.1 == 0)).map(|p| p.node.ip).collect()
+        here.filter(|p| p.feed.source().is_none_or(|f| f.1 == 0)).map(|p| p.node.ip).collect()
     }
 
     fn epoch(&self, region: &str) -> Head {
@@ -314,7 +314,7 @@
         let rev = self.commit(Command::Evacuate { zone: "south-a".into(), on: true });
         self.run(APPLIED);
         let behind: Vec<_> =
-            self.live().filter(|p| p.copy.rev() < rev).map(|p| (p.node.ip, p.feed.follows())).collect();
+            self.live().filter(|p| p.copy.rev() < rev).map(|p| (p.node.ip, p.feed.source())).collect();
         assert!(behind.is_empty(), "{behind:?} at {}", self.now);
     }
 }
@@ -328,7 +328,7 @@
         assert_eq!(heads.len(), 1, "{region}: {heads:?}");
         assert_eq!(world.epoch(region).ip, heads[0]);
         let here = world.live().filter(|p| p.node.region == region);
-        let depths: Vec<usize> = here.map(|p| p.feed.follows().unwrap().1).collect();
+        let depths: Vec<usize> = here.map(|p| p.feed.source().unwrap().1).collect();
         let at = |depth| depths.iter().filter(|d| **d == depth).count();
         assert_eq!((at(0), at(1), at(2)), (1, tree::FAN, 15 - 1 - tree::FAN));
     }
@@ -382,7 +382,7 @@
     let head = world.epoch("north").ip;
     world.proxy(head, Input::Shutdown);
     world.run(100 * MS);
-    assert!(world.live().all(|p| p.feed.follows().is_some_and(|f| f.0 != head)));
+    assert!(world.live().all(|p| p.feed.source().is_some_and(|f| f.0 != head)));
 }
 
 #[test]
@@ -394,7 +394,7 @@
         for _ in 0..8 {
             world.reaches_all();
             for p in world.live() {
-                assert!(p.feed.follows().is_some_and(|f| f.1 <= tree::DEEPEST), "seed {seed}");
+                assert!(p.feed.source().is_some_and(|f| f.1 <= tree::DEEPEST), "seed {seed}");
             }
         }
         world.confused = None;
