--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -273,7 +273,7 @@
     }
 
     /// Reports soon, as something that others act on has changed.
-    pub fn hurry(&mut self) {
+    pub fn report_soon(&mut self) {
         self.report_within(0);
     }
 
@@ -297,7 +297,7 @@
     pub fn suspects(&mut self, suspects: Vec<(Ipv4Addr, u64)>) {
         if self.suspects != suspects {
             self.suspects = suspects;
-            self.hurry();
+            self.report_soon();
         }
     }
 
@@ -562,7 +562,7 @@
             let epoch = self.head.map_or(0, |h| h.epoch) + 1;
             self.head = Some(Head { epoch, ip: self.node.ip });
             self.first_since = Some(self.now);
-            self.hurry();
+            self.report_soon();
         }
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -468,7 +468,7 @@
         }
         if self.feed.ready != ready {
             self.feed.ready = ready;
-            self.feed.hurry();
+            self.feed.report_soon();
         }
     }
 
@@ -539,7 +539,7 @@
         }
         self.show();
         if self.front.wants_early_report() {
-            self.feed.hurry();
+            self.feed.report_soon();
         }
         let rows = self.front.drill_rows(now);
         if !rows.is_empty() {
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -155,9 +155,9 @@
     let out = tell_at(&mut feed, 7, SECOND + 10_000, Input::Received(1, Down::News(news)));
     assert!(matches!(out[..], [Output::News(News::Run { from: 7, to: 9, .. })]));
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 20_000, Input::CopyChanged)), None);
-    feed.hurry();
+    feed.report_soon();
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 100_000, Input::Tick)), Some((9, 2)));
-    feed.hurry();
+    feed.report_soon();
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 150_000, Input::Tick)), None, "not all the time");
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 200_000, Input::Tick)), Some((9, 3)));
     // With the standings of the registry, and without them a little later.
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -689,7 +689,7 @@
         let tallies = x.front.tallies(now);
         let looks = x.asked_at.map_or(Micros::MAX, |_| now + LOOK);
         if x.front.wants_early_report() {
-            x.feed.hurry();
+            x.feed.report_soon();
         }
         let wake = x.front.wake_at().min(x.feed.wake_at()).min(x.watch.wake_at()).min(looks);
         self.wake(me, &mut p, wake);
@@ -850,7 +850,7 @@
         let ready = x.front.ready() && x.feed.has_been_fresh() && x.asked_at.is_none();
         if x.feed.ready != ready {
             x.feed.ready = ready;
-            x.feed.hurry();
+            x.feed.report_soon();
         }
         let Some(asked_at) = x.asked_at else { return false };
         let late = now >= asked_at + self.record.bounds.grace.saturating_sub(SPARE);
