--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -290,7 +290,7 @@
     }
 
     /// Whether a report is due: `uses` then says what it is to tell.
-    pub fn reports(&self, now: Micros) -> bool {
+    pub fn report_due(&self, now: Micros) -> bool {
         now >= self.report_at && self.parent.as_ref().is_some_and(|p| p.linked)
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -380,7 +380,7 @@
     }
 
     fn feed(&mut self, now: Micros, input: feed::Input) {
-        if self.feed.reports(now) {
+        if self.feed.report_due(now) {
             self.feed.uses(self.front.tenant_usage(now));
         }
         self.feed.handle(now, input, &self.front.copy, &mut self.news);
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -27,7 +27,7 @@
 fn tell_at(feed: &mut Feed, rev: u64, now: u64, input: Input) -> Vec<Output> {
     let (mut out, mut copy) = (Vec::new(), Copy::default());
     copy.apply(now, rev, None);
-    if feed.reports(now) {
+    if feed.report_due(now) {
         feed.uses(Vec::new());
     }
     feed.handle(now, input, &copy, &mut out);
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -189,7 +189,7 @@
         while let Some(input) = inputs.pop() {
             let mut some = Vec::new();
             proxy.feed.ready = proxy.feed.has_been_fresh();
-            if proxy.feed.reports(self.now) {
+            if proxy.feed.report_due(self.now) {
                 proxy.feed.uses(vec![USE]);
             }
             proxy.feed.handle(self.now, input, &proxy.copy, &mut some);
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -872,7 +872,7 @@
             self.at_work = Some((me, p.life));
             let now = p.clock(self.now);
             let x = &mut p.machine;
-            if x.feed.reports(now) {
+            if x.feed.report_due(now) {
                 x.feed.uses(x.front.tenant_usage(now));
             }
             let mut out = Vec::new();
