--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -301,7 +301,7 @@
         }
     }
 
-    pub fn uses(&mut self, uses: Vec<Use>) {
+    pub fn set_usage(&mut self, uses: Vec<Use>) {
         self.uses = Some(uses);
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -381,7 +381,7 @@
 
     fn feed(&mut self, now: Micros, input: feed::Input) {
         if self.feed.report_due(now) {
-            self.feed.uses(self.front.tenant_usage(now));
+            self.feed.set_usage(self.front.tenant_usage(now));
         }
         self.feed.handle(now, input, &self.front.copy, &mut self.news);
         self.front.set_fresh_at(now, self.feed.fresh_at());
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -28,7 +28,7 @@
     let (mut out, mut copy) = (Vec::new(), Copy::default());
     copy.apply(now, rev, None);
     if feed.report_due(now) {
-        feed.uses(Vec::new());
+        feed.set_usage(Vec::new());
     }
     feed.handle(now, input, &copy, &mut out);
     out
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -190,7 +190,7 @@
             let mut some = Vec::new();
             proxy.feed.ready = proxy.feed.has_been_fresh();
             if proxy.feed.report_due(self.now) {
-                proxy.feed.uses(vec![USE]);
+                proxy.feed.set_usage(vec![USE]);
             }
             proxy.feed.handle(self.now, input, &proxy.copy, &mut some);
             for output in some {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -873,7 +873,7 @@
             let now = p.clock(self.now);
             let x = &mut p.machine;
             if x.feed.report_due(now) {
-                x.feed.uses(x.front.tenant_usage(now));
+                x.feed.set_usage(x.front.tenant_usage(now));
             }
             let mut out = Vec::new();
             x.feed.handle(now, input, &x.front.copy, &mut out);
