--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -294,7 +294,7 @@
         now >= self.report_at && self.parent.as_ref().is_some_and(|p| p.linked)
     }
 
-    pub fn suspects(&mut self, suspects: Vec<(Ipv4Addr, u64)>) {
+    pub fn set_suspects(&mut self, suspects: Vec<(Ipv4Addr, u64)>) {
         if self.suspects != suspects {
             self.suspects = suspects;
             self.report_soon();
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -434,7 +434,7 @@
             for ip in watchers {
                 self.datagrams.send(*ip, &here);
             }
-            self.feed.suspects(self.watch.suspects());
+            self.feed.set_suspects(self.watch.suspects());
         }
     }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -954,7 +954,7 @@
                 self.datagram(n, to, here);
             }
         }
-        x.feed.suspects(x.watch.suspects());
+        x.feed.set_suspects(x.watch.suspects());
     }
 
     pub fn here(&mut self, from: usize, to: usize, here: Here) {
