--- a/crates/proxy/src/tree.rs
+++ b/crates/proxy/src/tree.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Followers that the order gives each relay.
-pub const FAN: usize = 8;
+pub const FANOUT: usize = 8;
 /// Relays that news may come through.
 pub const DEEPEST: usize = 4;
 
@@ -26,7 +26,7 @@
 
 /// The place in the order that this place follows; the head follows none.
 pub fn above(place: usize) -> Option<usize> {
-    place.checked_sub(1).map(|p| p / FAN)
+    place.checked_sub(1).map(|p| p / FANOUT)
 }
 
 /// Relays between this place and the registry.
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -330,7 +330,7 @@
         let here = world.live().filter(|p| p.node.region == region);
         let depths: Vec<usize> = here.map(|p| p.feed.source().unwrap().1).collect();
         let at = |depth| depths.iter().filter(|d| **d == depth).count();
-        assert_eq!((at(0), at(1), at(2)), (1, tree::FAN, 15 - 1 - tree::FAN));
+        assert_eq!((at(0), at(1), at(2)), (1, tree::FANOUT, 15 - 1 - tree::FANOUT));
     }
     // Calm: one standing and one report for each link.
     let before = world.messages;
