--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -2,7 +2,7 @@
 //! nothing new can come from there, and goes on to the next. See docs/system/relays.md.
 
 use crate::relay::Relay;
-use crate::tree::{self, DEEPEST};
+use crate::tree::{self, MAX_RELAYS};
 use cluster::copy::Copy;
 use cluster::drill::Rows;
 use cluster::rollout::Tally;
@@ -392,7 +392,7 @@
 
     fn standing(&mut self, link: u64, s: Standing, copy: &Copy, out: &mut Vec<Output>) {
         // A circle, a chain without end, or a head that another has followed: not to be followed.
-        let circle = s.path.contains(&self.node.ip) || s.path.len() > DEEPEST;
+        let circle = s.path.contains(&self.node.ip) || s.path.len() > MAX_RELAYS;
         if circle || (!s.path.is_empty() && s.head < self.head) {
             return self.leave(link, out);
         }
@@ -617,7 +617,7 @@
     fn takes(&self, ip: Ipv4Addr) -> bool {
         let Some(p) = self.parent.as_ref().filter(|p| p.proved && !self.ended) else { return false };
         let circle = p.path.contains(&ip) || self.next.as_ref().is_some_and(|n| n.ip == ip);
-        !circle && p.path.len() < DEEPEST
+        !circle && p.path.len() < MAX_RELAYS
     }
 
     fn refuse(&mut self, link: u64, out: &mut Vec<Output>) {
--- a/crates/proxy/src/tree.rs
+++ b/crates/proxy/src/tree.rs
@@ -9,7 +9,7 @@
 /// Followers that the order gives each relay.
 pub const FANOUT: usize = 8;
 /// Relays that news may come through.
-pub const DEEPEST: usize = 4;
+pub const MAX_RELAYS: usize = 4;
 
 /// The live ones of a region, the head first. `me` counts as alive, whatever is told.
 pub fn order(
--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -394,7 +394,7 @@
         for _ in 0..8 {
             world.reaches_all();
             for p in world.live() {
-                assert!(p.feed.source().is_some_and(|f| f.1 <= tree::DEEPEST), "seed {seed}");
+                assert!(p.feed.source().is_some_and(|f| f.1 <= tree::MAX_RELAYS), "seed {seed}");
             }
         }
         world.confused = None;
