--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -497,7 +497,7 @@
 
     /// Whom to follow instead, and whether it is a relay.
     fn better(&self, p: &Parent) -> Option<(Ipv4Addr, bool)> {
-        let above = self.place.and_then(tree::above);
+        let above = self.place.and_then(tree::parent);
         if p.relay {
             // One above that is no further down than the order has it is as good as any.
             let stays = self.place.zip(self.place_of(p.ip));
--- a/crates/proxy/src/tree.rs
+++ b/crates/proxy/src/tree.rs
@@ -25,11 +25,11 @@
 }
 
 /// The place in the order that this place follows; the head follows none.
-pub fn above(place: usize) -> Option<usize> {
+pub fn parent(place: usize) -> Option<usize> {
     place.checked_sub(1).map(|p| p / FANOUT)
 }
 
 /// Relays between this place and the registry.
 pub fn depth(place: usize) -> usize {
-    above(place).map_or(0, |above| 1 + depth(above))
+    parent(place).map_or(0, |parent| 1 + depth(parent))
 }
