--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -601,7 +601,7 @@
                 self.tell_at = self.tell_at.min(self.now + self.part() * RELAY_SPEAKS / 100);
             }
             Up::Report { rev, seen, usage, .. } => {
-                if self.relay.reported(link, rev, seen, usage, until) {
+                if self.relay.report_received(link, rev, seen, usage, until) {
                     // Ahead of time below: ahead of time here too, if it is not soon anyway.
                     if self.report_at > self.now + self.gather_us() {
                         self.report_within(GATHER_US);
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -20,7 +20,7 @@
 
 impl Relay {
     /// A report from below; each part of it is handed on unchanged. False: nobody who follows here.
-    pub fn reported(
+    pub fn report_received(
         &mut self,
         link: u64,
         rev: Rev,
