--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -515,7 +515,7 @@
 
     fn shuns(&self, ip: Ipv4Addr) -> bool {
         self.failed_at(ip).is_some()
-            || self.relay.below(self.now, ip)
+            || self.relay.is_below(self.now, ip)
             || self.suspects.iter().any(|s| s.0 == ip)
     }
 
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -37,7 +37,7 @@
         true
     }
 
-    pub fn below(&self, now: Micros, ip: Ipv4Addr) -> bool {
+    pub fn is_below(&self, now: Micros, ip: Ipv4Addr) -> bool {
         self.below.get(&ip).is_some_and(|until| now < *until)
             || self.followers.iter().any(|(_, f)| f.node.ip == ip)
     }
