--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -574,7 +574,7 @@
         (self.report_at, self.reported_at) = (self.now + self.part() * 5 / 4, self.now);
         self.count += 1;
         let (ip, life, count, ready) = (self.node.ip, self.life, self.count, self.ready);
-        let (mut seen, mut usage) = self.relay.gathered(self.now);
+        let (mut seen, mut usage) = self.relay.take_reports(self.now);
         seen.push(Seen { ip, life, count, ready, rev, suspects: self.suspects.clone() });
         usage.push(Usage { ip, life, count, tenants });
         out.push(Output::SendUp(p.link, Up::Report { rev, head: self.head, seen, usage }));
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -43,7 +43,7 @@
     }
 
     /// What came from below since the last time.
-    pub fn gathered(&mut self, now: Micros) -> (Vec<Seen>, Vec<Usage>) {
+    pub fn take_reports(&mut self, now: Micros) -> (Vec<Seen>, Vec<Usage>) {
         self.below.retain(|_, until| now < *until);
         let (seen, usage) = (std::mem::take(&mut self.seen), std::mem::take(&mut self.usage));
         (seen.into_values().collect(), usage.into_values().collect())
