--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -596,7 +596,7 @@
                 if !self.takes(node.ip) {
                     return self.refuse(link, out);
                 }
-                self.relay.hello(link, node, rev, until);
+                self.relay.add_follower(link, node, rev, until);
                 out.push(Output::SendDown(link, Down::Standing(self.stands(copy, true))));
                 self.tell_at = self.tell_at.min(self.now + self.part() * RELAY_SPEAKS / 100);
             }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -50,7 +50,7 @@
     }
 
     /// Takes a follower in.
-    pub fn hello(&mut self, link: u64, node: Node, rev: Rev, until: Micros) {
+    pub fn add_follower(&mut self, link: u64, node: Node, rev: Rev, until: Micros) {
         self.below.insert(node.ip, until);
         self.followers.hello(link, node, rev);
     }
