--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -314,7 +314,7 @@
             Input::Received(link, down) => self.got(link, down, copy, out),
             Input::CopyChanged => {
                 self.reorder(copy);
-                self.relay.feed(self.now, copy, |link, down| out.push(Output::SendDown(link, down)));
+                self.relay.send_news(self.now, copy, |link, down| out.push(Output::SendDown(link, down)));
             }
             Input::FromFollower(link, up) => self.below(link, up, copy, out),
             Input::Drill(rows) => self.pass_up(Up::Drill(rows), out),
@@ -610,7 +610,7 @@
             }
             up @ (Up::Drill(_) | Up::Rollout(_)) => self.pass_up(up, out),
         }
-        self.relay.feed(self.now, copy, |link, down| out.push(Output::SendDown(link, down)));
+        self.relay.send_news(self.now, copy, |link, down| out.push(Output::SendDown(link, down)));
     }
 
     /// Whether this one may follow here.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -56,7 +56,7 @@
     }
 
     /// Those to whom something of the copy is new are told it.
-    pub fn feed(&mut self, now: Micros, copy: &Copy, tell: impl FnMut(u64, Down)) {
+    pub fn send_news(&mut self, now: Micros, copy: &Copy, tell: impl FnMut(u64, Down)) {
         self.followers.feed(now, copy, tell);
     }
 }
