--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -31,7 +31,7 @@
     pub target: String,
     pub host: String,
     /// What its client calls this try.
-    pub name: Arc<[u8]>,
+    pub attempt_id: Arc<[u8]>,
     pub left_us: Option<Micros>,
     pub key: Option<String>,
     /// Header lines that are meant for the server.
@@ -370,7 +370,7 @@
         let reserved = rehearsed.is_none() && self.rollouts.reserve(service, route_key);
         let trials = if reserved { self.book.trials_in(zones) } else { 0 };
         let open = Open {
-            name: ask.name.clone(),
+            name: ask.attempt_id.clone(),
             passage: Arc::new(Passage { head: head(&ask, tenant), body: ask.body }),
             until: self.now + left_us,
             plan,
@@ -625,7 +625,7 @@
             key: ask.key.as_deref(),
             route: &route.name,
             head: &ask.head,
-            attempt: &ask.name,
+            attempt: &ask.attempt_id,
             left_us: ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000),
         };
         self.drills.meets(self.now, &meeting)
@@ -643,7 +643,7 @@
 
     fn strike(&mut self, ask: ClientRequest, met: Met, out: &mut Vec<Output>) {
         let (id, fault) = (ask.id, met.fault.clone());
-        out.push(Output::DrillFault { id, name: ask.name.clone(), met });
+        out.push(Output::DrillFault { id, name: ask.attempt_id.clone(), met });
         match fault {
             Fault::Refused => out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US))),
             Fault::NoServer => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -206,7 +206,7 @@
             method: head.method.to_string(),
             target: head.target.to_string(),
             host: text("Host").unwrap_or("").to_string(),
-            name: name.as_bytes().into(),
+            attempt_id: name.as_bytes().into(),
             left_us: left_us.map(|ms| ms.saturating_mul(1000)),
             key: key.map(|(_, key)| key.trim().to_string()),
             head: lines,
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -183,7 +183,7 @@
             method: method.into(),
             target: path.into(),
             host: "h".into(),
-            name: name.into_bytes().into(),
+            attempt_id: name.into_bytes().into(),
             left_us: None,
             key: Some("k1".into()),
             head,
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -156,7 +156,7 @@
             method: "GET".into(),
             target: path.into(),
             host: "h".into(),
-            name: b"name".as_slice().into(),
+            attempt_id: b"name".as_slice().into(),
             left_us,
             key: key.map(str::to_string),
             head: b"Accept: all\r\n".to_vec(),
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -602,7 +602,7 @@
                     method: if t.once { "POST" } else { "GET" }.into(),
                     target: t.path.clone(),
                     host: t.host.clone(),
-                    name: number.to_string().into_bytes().into(),
+                    attempt_id: number.to_string().into_bytes().into(),
                     left_us: Some(t.until.saturating_sub(t.sent)),
                     key: t.key.clone(),
                     head: format!("X-Attempt-Id: {number}\r\n").into_bytes(),
