--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -117,7 +117,7 @@
     pub id: u64,
     pub attempt: u32,
     pub server: u64,
-    pub name: Arc<[u8]>,
+    pub attempt_id: Arc<[u8]>,
     /// The one life of a server that may run it.
     pub instance: Arc<str>,
     pub passage: Arc<Passage>,
@@ -546,8 +546,8 @@
         let Some((peer, _)) = self.peers.get(&server) else {
             return self.back.push_back((id, attempt, Outcome::ConnectFailed));
         };
-        let (name, instance, passage) = (open.name.clone(), peer.id.clone(), open.passage.clone());
-        out.push(Output::Send(Job { id, attempt, server, name, instance, passage, again, until }));
+        let (attempt_id, instance, passage) = (open.name.clone(), peer.id.clone(), open.passage.clone());
+        out.push(Output::Send(Job { id, attempt, server, attempt_id, instance, passage, again, until }));
     }
 
     fn answer(&mut self, id: u64, answer: Answer, out: &mut Vec<Output>) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -325,8 +325,9 @@
         for output in std::mem::take(&mut self.out) {
             match output {
                 dispatcher::Output::Send(job) => {
-                    let dispatcher::Job { id, attempt, server, name, instance, passage, again, until } = job;
-                    let note = Note { name, instance };
+                    let dispatcher::Job { id, attempt, server, attempt_id, instance, passage, again, until } =
+                        job;
+                    let note = Note { name: attempt_id, instance };
                     let sent = self
                         .peers
                         .get(&server)
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -195,9 +195,16 @@
         self.proxy.tell(input);
         for output in std::mem::take(&mut self.proxy.out) {
             match output {
-                Output::Send(Job { id, attempt, server, name, instance, passage, again, until }) => {
+                Output::Send(Job { id, attempt, server, attempt_id, instance, passage, again, until }) => {
                     let again = again && self.plant != Some(Plant::SameConnectionAgain);
-                    let job = Carried { id, attempt, passage, again, until, note: Note { name, instance } };
+                    let job = Carried {
+                        id,
+                        attempt,
+                        passage,
+                        again,
+                        until,
+                        note: Note { name: attempt_id, instance },
+                    };
                     self.send(server, job);
                 }
                 Output::CancelAttempt { id, attempt, .. } => {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -768,7 +768,8 @@
         let me = Owner::Proxy(n);
         match output {
             dispatcher::Output::Send(job) => {
-                let number: u64 = std::str::from_utf8(&job.name).expect("text").parse().expect("a number");
+                let number: u64 =
+                    std::str::from_utf8(&job.attempt_id).expect("text").parse().expect("a number");
                 self.record.tries[number as usize].given = true;
                 let work = Rc::new(Work {
                     name: number,
