--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -99,7 +99,7 @@
     /// A request meets a rehearsed fault; for who keeps the log.
     DrillFault {
         id: u64,
-        name: Arc<[u8]>,
+        attempt_id: Arc<[u8]>,
         met: Met,
     },
     /// A server that is new, or that may or may not get more from now on.
@@ -643,7 +643,7 @@
 
     fn strike(&mut self, ask: ClientRequest, met: Met, out: &mut Vec<Output>) {
         let (id, fault) = (ask.id, met.fault.clone());
-        out.push(Output::DrillFault { id, name: ask.attempt_id.clone(), met });
+        out.push(Output::DrillFault { id, attempt_id: ask.attempt_id.clone(), met });
         match fault {
             Fault::Refused => out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US))),
             Fault::NoServer => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -349,9 +349,9 @@
                     let nothing = dispatcher::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
                     self.reply(id, |a| a.cut = true, nothing);
                 }
-                dispatcher::Output::DrillFault { name, met, .. } => {
+                dispatcher::Output::DrillFault { attempt_id, met, .. } => {
                     let (epoch, fault) = (met.epoch, met.fault.name());
-                    log::info!("drill {epoch}: {} meets {fault}", String::from_utf8_lossy(&name));
+                    log::info!("drill {epoch}: {} meets {fault}", String::from_utf8_lossy(&attempt_id));
                 }
                 dispatcher::Output::Server { server, peer, up } => {
                     let settings = self.pool();
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -823,8 +823,8 @@
                     self.at(self.now + us, Ev::Slowly(n, life, id, Rc::new(answer)));
                 }
             }
-            dispatcher::Output::DrillFault { name, met, .. } => {
-                let attempt = std::str::from_utf8(&name).expect("text").parse().expect("a number");
+            dispatcher::Output::DrillFault { attempt_id, met, .. } => {
+                let attempt = std::str::from_utf8(&attempt_id).expect("text").parse().expect("a number");
                 let drills = &x.front.copy.state.drills.0;
                 let name = drills.values().find(|h| h.epoch == met.epoch).map(|h| h.drill.name.as_str());
                 let of = self.record.rehearsals.iter().position(|r| Some(r.drill.name.as_str()) == name);
