--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -87,7 +87,7 @@
         id: u64,
         attempt: u32,
         server: u64,
-        late: Option<Micros>,
+        timed_out_sent_at: Option<Micros>,
     },
     Answer(u64, Answer),
     /// Rehearsed: the head and half of the body, then the connection ends.
@@ -570,7 +570,7 @@
         if let (Some(placed), Some(_), None) = (one.placed, late, &open.rehearsed) {
             self.rollouts.ended(placed, open.route, Ended::Failed);
         }
-        out.push(Output::CancelAttempt { id, attempt, server: one.server, late });
+        out.push(Output::CancelAttempt { id, attempt, server: one.server, timed_out_sent_at: late });
         self.back.push_back((id, attempt, outcome));
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -337,9 +337,9 @@
                         self.inbox.post(Told::Ended(id, attempt, end));
                     }
                 }
-                dispatcher::Output::CancelAttempt { id, attempt, server, late } => {
+                dispatcher::Output::CancelAttempt { id, attempt, server, timed_out_sent_at } => {
                     if let Some(peer) = self.peers.get(&server) {
-                        peer.give_up(id, attempt, late);
+                        peer.give_up(id, attempt, timed_out_sent_at);
                     }
                 }
                 dispatcher::Output::Answer(id, answer) => self.reply(id, |_| {}, answer),
