--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! The proxy's decisions on requests, as a state machine: requests, outcomes of attempts and news come in; attempts to
-//! send and answers go out.
+//! Dispatches requests to servers. This is a state machine without I/O: requests, results of attempts and state updates
+//! come in; attempts to send and answers go out.
 //!
-//! What a status says is kept apart from how it came about: 429 and 503 promise that a request has not run and will not,
-//! so they go out only where that is known or where the request may run more than once anyway.
+//! To the client, 429 and 503 promise that the request has not run and will not. They are therefore sent only where that
+//! is known, or where the request may run more than once anyway.
 
 use crate::book::{Book, List, Peer, Place, REGION};
 use crate::cramp::{Cramp, Shown};
@@ -24,30 +24,32 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// A client's request, whole.
+/// A client's complete request.
 pub struct ClientRequest {
     pub id: u64,
     pub method: String,
     pub target: String,
     pub host: String,
-    /// What its client calls this try.
+    /// The client's name for this try (`X-Attempt-Id`).
     pub attempt_id: Arc<[u8]>,
+    /// The time that the client still allows (`X-Time-Left`).
     pub left_us: Option<Micros>,
+    /// The access key of a tenant (`Authorization`).
     pub key: Option<String>,
-    /// Header lines that are meant for the server.
+    /// Header lines to forward to the server.
     pub head: Vec<u8>,
     pub body: Held,
 }
 
 /// How an attempt ended.
 pub enum AttemptResult {
-    /// With a whole answer.
+    /// With a complete answer.
     Answered(ServerAnswer),
-    /// Without one.
+    /// Without a complete answer.
     Broken { execution: Execution },
 }
 
-/// How far an attempt without an answer had come.
+/// Whether the server may have run an attempt that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
     /// The server cannot have run it.
@@ -60,14 +62,16 @@
     pub status: u16,
     /// The server says that it did not run the request.
     pub not_run: bool,
-    /// Header lines that are meant for the client.
+    /// Header lines to forward to the client.
     pub headers: Vec<u8>,
     pub body: Vec<u8>,
 }
 
 pub enum Input {
+    /// Time has passed.
     Tick,
     Request(ClientRequest),
+    /// The client of this request has left before its answer.
     ClientGone(u64),
     AttemptEnded {
         id: u64,
@@ -75,57 +79,63 @@
         end: AttemptResult,
     },
     News(News),
-    /// With when they were made, at the least.
+    /// Readings of what tenants use of their quotas, and the earliest time at which they may have been made.
     Meter(Vec<Reading>, Micros),
+    /// How long drills may still run, and when that was said. The time is never too early, as no drill may end early.
     Leases(Vec<Lease>, Micros),
 }
 
 pub enum Output {
     Send(Job),
-    /// Stop waiting for an attempt; its connection is of no more use.
+    /// Stop waiting for an attempt and close its connection.
     CancelAttempt {
         id: u64,
         attempt: u32,
         server: u64,
+        /// When the attempt was sent, if it has timed out.
         timed_out_sent_at: Option<Micros>,
     },
     Answer(u64, Answer),
-    /// Rehearsed: the head and half of the body, then the connection ends.
+    /// Fault of a drill: send the head and half of the body, then close the connection.
     Cut(u64, Answer),
-    /// Rehearsed: the body comes in pieces over so long.
+    /// Fault of a drill: send the body in pieces over this time.
     Slow(u64, Answer, Micros),
-    /// Rehearsed: the connection ends without an answer.
+    /// Fault of a drill: close the connection without an answer.
     Close(u64),
-    /// A request meets a rehearsed fault; for who keeps the log.
+    /// A drill injects its fault into this request; for the log.
     DrillFault {
         id: u64,
         attempt_id: Arc<[u8]>,
         met: Met,
     },
-    /// A server that is new, or that may or may not get more from now on.
+    /// A server is new, or has changed. `up`: it may get new requests.
     Server {
         server: u64,
         peer: Peer,
         up: bool,
     },
+    /// A server has left the list.
     ServerRemoved {
         server: u64,
     },
 }
 
+/// One attempt at a request, to be sent to a server.
 pub struct Job {
     pub id: u64,
     pub attempt: u32,
     pub server: u64,
     pub attempt_id: Arc<[u8]>,
-    /// The one life of a server that may run it.
+    /// The server instance that may run it; another one at the same address must refuse it.
     pub instance: Arc<str>,
     pub passage: Arc<Passage>,
     /// An earlier attempt of this request went to this server.
     pub again: bool,
+    /// When the attempt times out.
     pub until: Micros,
 }
 
+/// An answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -134,61 +144,72 @@
 }
 
 impl Answer {
-    fn plain(status: u16, why: &str) -> Answer {
+    fn text(status: u16, why: &str) -> Answer {
         let headers = b"Content-Type: text/plain\r\n".to_vec();
         Answer { status, headers, body: format!("{why}\n").into_bytes() }
     }
 
-    /// Not run; when to come back.
-    fn later(status: u16, why: &str, after: Micros) -> Answer {
-        let mut answer = Answer::plain(status, why);
+    /// The request has not run; `after`: when the client may try again.
+    fn retry_later(status: u16, why: &str, after: Micros) -> Answer {
+        let mut answer = Answer::text(status, why);
         let seconds = after.max(1_000) as f64 / 1e6;
         answer.headers.extend_from_slice(format!("Retry-After: {seconds:.3}\r\n").as_bytes());
         answer
     }
 }
 
-struct Try {
+struct Attempt {
     server: u64,
     sent_at: Micros,
-    out: bool,
-    /// Where its server was placed, if a rollout of its service ran.
+    in_flight: bool,
+    /// The side of its server in a rollout of its service, if one was running.
     placed: Option<Placed>,
 }
 
-struct Open {
-    name: Arc<[u8]>,
-    /// The request without what differs from server to server.
+/// A request that has no final answer yet, or has attempts in flight.
+struct OpenRequest {
+    attempt_id: Arc<[u8]>,
+    /// The request without the lines that differ between attempts.
     passage: Arc<Passage>,
-    until: Micros,
+    deadline: Micros,
+    /// Number of the tenant's plan; 0: no tenant.
     plan: usize,
+    /// Number of the booking that it counts under; 0: none.
     booking: u32,
     service: u32,
     /// [`tenant_key`] of the route's name.
     route: u32,
-    /// It has a place in the share of a version on trial that it has not used yet.
-    reserved: bool,
-    tries: Vec<Try>,
-    /// The last answer that a server gave though it is no success.
-    spare: Option<Answer>,
+    /// It may go to a server on trial and has not yet used that part of the trial's share.
+    trial_reserved: bool,
+    attempts: Vec<Attempt>,
+    /// The last error answer of a server, forwarded if no attempt succeeds.
+    fallback: Option<Answer>,
+    /// An attempt has timed out.
     timed_out: bool,
+    /// It has been answered, or its client has left.
     closed: bool,
-    rehearsed: Option<Fault>,
+    /// The fault that a drill injects into it.
+    drill_fault: Option<Fault>,
 }
 
-/// Counts, for who watches.
+/// Counters of this proxy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
+    /// Requests of clients.
     pub asked: u64,
+    /// Requests answered with a server's success.
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
+    /// Attempts.
     pub sent: u64,
+    /// Attempts that reached another instance than the one listed (status 421).
     pub wrong_instance: u64,
 }
 
 pub struct Dispatcher {
     now: Micros,
+    /// This proxy's copy of the agreed cluster state.
     pub copy: Copy,
     config: Option<(Arc<Config>, Index)>,
     book: Book,
@@ -196,32 +217,39 @@
     rng: fastrand::Rng,
     beat_us: Micros,
     place: Place,
-    open: HashMap<u64, Open>,
+    requests: HashMap<u64, OpenRequest>,
     timeouts: Timeouts,
-    timer: Option<Micros>,
+    /// When the decider wants to be called again.
+    decider_timer: Option<Micros>,
+    /// The listed servers, and whether each may get new requests.
     peers: BTreeMap<u64, (Peer, bool)>,
-    /// How many proxies there are, and the place of this one, as the decisions know it.
-    among: (usize, usize),
+    /// The number of proxies and the index of this one, as the decider was last told.
+    membership: (usize, usize),
+    /// When the list of servers is to be rebuilt though no update comes.
     relist_at: Option<Micros>,
     listed_at: Micros,
     tenants: Tenants,
     cramp: Cramp,
-    /// What is done under each booking, and what of them was last told to the decisions.
-    booked: Tenants,
+    /// Requests counted for each booking.
+    booking_usage: Tenants,
+    /// The reservations for bookings, as the decider was last told.
     holds: Vec<Hold>,
-    look_at: Micros,
-    /// Plans of which all is sent that may be sent ahead.
-    spent: Vec<usize>,
-    acts: Vec<Action>,
-    back: VecDeque<(u64, u32, Outcome)>,
+    /// When the reservations are next computed.
+    holds_due_at: Micros,
+    /// Plans that have just used up what this proxy may send ahead of a quota reading.
+    exhausted_plans: Vec<usize>,
+    /// Buffer that is reused between calls of the decider.
+    actions: Vec<Action>,
+    /// Outcomes of attempts that the decider has not been told yet.
+    outcomes: VecDeque<(u64, u32, Outcome)>,
     rollouts: Rollouts,
-    /// Servers of services with a running rollout.
-    placed: BTreeMap<u64, Placed>,
+    /// The side of each server whose service has a running rollout.
+    placements: BTreeMap<u64, Placed>,
     drills: Drills,
-    /// Requests that wait for a grant: since when, and until when.
-    held: BTreeMap<u64, (ClientRequest, Micros, Micros)>,
-    /// Answers that a rehearsal holds back.
-    late: BTreeMap<(Micros, u64), Answer>,
+    /// Requests that wait for a drill's grant: since when, and until when.
+    awaiting_grant: BTreeMap<u64, (ClientRequest, Micros, Micros)>,
+    /// Answers that a drill delays, by when they are sent.
+    delayed_answers: BTreeMap<(Micros, u64), Answer>,
     pub counts: Counts,
 }
 
@@ -233,81 +261,86 @@
             now,
             copy: Copy::default(),
             config: None,
-            decider: Decider::new(settings, seed).expect("the first settings are sane"),
+            decider: Decider::new(settings, seed).expect("the initial settings are valid"),
             book,
             rng: fastrand::Rng::with_seed(seed ^ 1),
             beat_us,
             rollouts: Rollouts::new(place.ip, seed, place.exposure, beat_us, now),
-            placed: BTreeMap::new(),
+            placements: BTreeMap::new(),
             drills: Drills::new(place.ip, seed, beat_us),
-            held: BTreeMap::new(),
-            late: BTreeMap::new(),
+            awaiting_grant: BTreeMap::new(),
+            delayed_answers: BTreeMap::new(),
             cramp: Cramp::new(place.ip, place.times),
-            booked: Tenants::new(beat_us / 3, seed),
+            booking_usage: Tenants::new(beat_us / 3, seed),
             holds: Vec::new(),
-            look_at: Micros::MAX,
+            holds_due_at: Micros::MAX,
             place,
-            open: HashMap::new(),
+            requests: HashMap::new(),
             timeouts: Timeouts::default(),
-            timer: None,
+            decider_timer: None,
             peers: BTreeMap::new(),
-            among: (1, 0),
+            membership: (1, 0),
             relist_at: None,
             listed_at: 0,
             tenants: Tenants::new(beat_us / 3, seed),
-            spent: Vec::new(),
-            acts: Vec::new(),
-            back: VecDeque::new(),
+            exhausted_plans: Vec::new(),
+            actions: Vec::new(),
+            outcomes: VecDeque::new(),
             counts: Counts::default(),
         }
     }
 
-    /// It holds a configuration and knows servers.
+    /// Whether there are a configuration and servers.
     pub fn ready(&self) -> bool {
         self.config.is_some() && !self.peers.is_empty()
     }
 
     pub fn open_requests(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
     pub fn limits(&self) -> Option<&settings::config::Limits> {
         self.config.as_ref().map(|(c, _)| &c.limits)
     }
 
+    /// When `handle` is to be called again if nothing else happens.
     pub fn wake_at(&mut self) -> Micros {
-        let open = &self.open;
-        let out = |id, attempt: u32| {
-            open.get(&id).and_then(|o| o.tries.get(attempt as usize)).is_some_and(|t| t.out)
+        let requests = &self.requests;
+        let in_flight = |id, attempt: u32| {
+            requests.get(&id).and_then(|r| r.attempts.get(attempt as usize)).is_some_and(|t| t.in_flight)
         };
-        let timeout = self.timeouts.next(out);
-        let late = self.late.keys().next().map(|(at, _)| *at);
-        let held = self.held.values().map(|(_, _, until)| *until).min();
-        let due = [timeout, self.timer, self.relist_at, late, held].into_iter().flatten().min();
-        due.unwrap_or(Micros::MAX).min(self.look_at).min(self.drills.wake_at()).min(self.rollouts.wake_at())
+        let timeout = self.timeouts.next(in_flight);
+        let delayed = self.delayed_answers.keys().next().map(|(at, _)| *at);
+        let grant = self.awaiting_grant.values().map(|(_, _, until)| *until).min();
+        let due = [timeout, self.decider_timer, self.relist_at, delayed, grant].into_iter().flatten().min();
+        due.unwrap_or(Micros::MAX)
+            .min(self.holds_due_at)
+            .min(self.drills.wake_at())
+            .min(self.rollouts.wake_at())
     }
 
+    /// Handles one input and appends what is to be done to `out`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         let before = out.len();
         match input {
             Input::Tick => {}
-            Input::Request(ask) => self.asked(ask, out),
+            Input::Request(request) => self.handle_request(request, out),
             Input::ClientGone(id) => {
                 self.leave_drills(id);
-                if let Some(open) = self.open.get_mut(&id).filter(|o| !o.closed) {
-                    open.closed = true;
+                if let Some(request) = self.requests.get_mut(&id).filter(|r| !r.closed) {
+                    request.closed = true;
                     self.decide(Event::Withdrawn { id }, out);
-                    self.forget(id);
+                    self.remove_if_done(id);
                 }
             }
-            Input::AttemptEnded { id, attempt, end } => self.ended(id, attempt, end, out),
-            Input::News(news) => self.news(news, out),
-            Input::Meter(readings, made_at) => self.meter(&readings, made_at, out),
+            Input::AttemptEnded { id, attempt, end } => self.attempt_ended(id, attempt, end, out),
+            Input::News(news) => self.apply_news(news, out),
+            Input::Meter(readings, made_at) => self.apply_readings(&readings, made_at, out),
             Input::Leases(leases, made_at) => self.drills.lease(made_at, &leases),
         }
-        self.settle(out);
-        self.due(out);
+        self.report_outcomes(out);
+        self.run_due(out);
         if !self.drills.idle() {
             for output in &out[before..] {
                 if let Output::Answer(id, Answer { status, .. })
@@ -322,70 +355,70 @@
 
     // ---- requests ----
 
-    fn asked(&mut self, ask: ClientRequest, out: &mut Vec<Output>) {
+    fn handle_request(&mut self, request: ClientRequest, out: &mut Vec<Output>) {
         self.counts.asked += 1;
-        let verdict = if self.drills.idle() { Verdict::Pass } else { self.rehearses(&ask) };
+        let verdict = if self.drills.idle() { Verdict::Pass } else { self.check_drills(&request) };
         match verdict {
-            Verdict::Pass => self.take(ask, None, out),
-            Verdict::Hold(until) => _ = self.held.insert(ask.id, (ask, self.now, until)),
-            Verdict::Meets(met) => self.strike(ask, met, out),
+            Verdict::Pass => self.accept(request, None, out),
+            Verdict::Hold(until) => _ = self.awaiting_grant.insert(request.id, (request, self.now, until)),
+            Verdict::Meets(met) => self.apply_drill_fault(request, met, out),
         }
     }
 
-    fn take(&mut self, ask: ClientRequest, rehearsed: Option<Fault>, out: &mut Vec<Output>) {
-        let id = ask.id;
-        match self.admit(ask, rehearsed) {
+    fn accept(&mut self, request: ClientRequest, drill_fault: Option<Fault>, out: &mut Vec<Output>) {
+        let id = request.id;
+        match self.admit(request, drill_fault) {
             Err(answer) => out.push(Output::Answer(id, answer)),
-            Ok(request) => self.decide(Event::Request(request), out),
+            Ok(new_request) => self.decide(Event::Request(new_request), out),
         }
     }
 
-    fn admit(&mut self, ask: ClientRequest, rehearsed: Option<Fault>) -> Result<NewRequest, Answer> {
-        let (route, tenant) = whose(&self.config, &ask)?;
+    fn admit(&mut self, request: ClientRequest, drill_fault: Option<Fault>) -> Result<NewRequest, Answer> {
+        let (route, tenant) = route_and_tenant(&self.config, &request)?;
         let mut zones =
             self.book.within(&route.homes) & tenant.map_or(u64::MAX, |t| self.book.within(&t.homes));
-        if let Some(Fault::UnreachableZone(zone)) = &rehearsed {
+        if let Some(Fault::UnreachableZone(zone)) = &drill_fault {
             zones &= self.book.without(zone);
         }
         zones = self.book.without_trials(zones);
         if zones == 0 {
-            return Err(Answer::later(503, "no region may serve this", RETRY_US));
+            return Err(Answer::retry_later(503, "no region may serve this", RETRY_AFTER_US));
         }
         let Some(service) = pick_service(&self.book, &self.peers, &mut self.rng, route) else {
-            return Err(Answer::later(503, "no server is known", RETRY_US));
+            return Err(Answer::retry_later(503, "no server is known", RETRY_AFTER_US));
         };
-        let left_us = ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000);
+        let left_us = request.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000);
         let plan = tenant.map_or(0, |t| self.book.plan(&t.name));
         self.tenants.asked(plan);
         let nodes = self.copy.state.nodes.len();
         if !self.tenants.may_send(self.now, plan, self.book.even(plan, nodes), nodes) {
             self.counts.refused += 1;
-            return Err(Answer::later(429, "beyond the quota", RETRY_US));
+            return Err(Answer::retry_later(429, "beyond the quota", RETRY_AFTER_US));
         }
-        let booking = self.come_under(tenant, route, service);
+        let booking = self.booking_of(tenant, route, service);
         if booking > 0 {
-            self.booked.asked(booking as usize);
+            self.booking_usage.asked(booking as usize);
         }
         let route_key = tenant_key(&route.name);
-        let reserved = rehearsed.is_none() && self.rollouts.reserve(service, route_key);
-        let trials = if reserved { self.book.trials_in(zones) } else { 0 };
-        let open = Open {
-            name: ask.attempt_id.clone(),
-            passage: Arc::new(Passage { head: head(&ask, tenant), body: ask.body }),
-            until: self.now + left_us,
+        let trial_reserved = drill_fault.is_none() && self.rollouts.reserve(service, route_key);
+        let trials = if trial_reserved { self.book.trials_in(zones) } else { 0 };
+        let accepted = OpenRequest {
+            attempt_id: request.attempt_id.clone(),
+            passage: Arc::new(Passage { head: request_head(&request, tenant), body: request.body }),
+            deadline: self.now + left_us,
             plan,
             booking,
             service,
             route: route_key,
-            reserved,
-            tries: Vec::new(),
-            spare: None,
+            trial_reserved,
+            attempts: Vec::new(),
+            fallback: None,
             timed_out: false,
             closed: false,
-            rehearsed,
+            drill_fault,
         };
-        let request = NewRequest {
-            id: ask.id,
+        let new_request = NewRequest {
+            id: request.id,
             class: self.book.class(&route.name),
             plan,
             customer: plan as u64,
@@ -396,17 +429,17 @@
             zones: zones | trials,
             zones_again: zones,
             attempts: route.attempts,
-            reach: self.reach(route, service, zones),
+            reach: self.max_distance(route, service, zones),
             booking,
             ..NewRequest::default()
         };
-        self.open.insert(ask.id, open);
-        Ok(request)
+        self.requests.insert(request.id, accepted);
+        Ok(new_request)
     }
 
-    /// Large answers stay in their region while it has a server for them: carried far they cost more than they are
-    /// worth.
-    fn reach(&self, route: &Route, service: u32, zones: u64) -> u32 {
+    /// How far a request may be sent. Downloads stay in their region while it has a server for them, as carrying large
+    /// answers between regions costs more than they are worth.
+    fn max_distance(&self, route: &Route, service: u32, zones: u64) -> u32 {
         let here = |(p, up): &(Peer, bool)| {
             *up && p.service == service && p.near <= REGION && (p.zone >= 64 || zones & 1 << p.zone != 0)
         };
@@ -417,298 +450,314 @@
         }
     }
 
-    fn ended(&mut self, id: u64, attempt: u32, end: AttemptResult, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(one) = open.tries.get(attempt as usize).filter(|t| t.out) else { return };
-        let (server, wrong) = (one.server, matches!(&end, AttemptResult::Answered(s) if s.status == 421));
-        let taken_us = self.now.saturating_sub(one.sent_at);
-        if let (Some(placed), None) = (one.placed, &open.rehearsed)
-            && let Some(ended) = tells_of_version(&end, taken_us, placed.cold_until > one.sent_at)
+    fn attempt_ended(&mut self, id: u64, attempt: u32, end: AttemptResult, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(this_attempt) = request.attempts.get(attempt as usize).filter(|t| t.in_flight) else {
+            return;
+        };
+        let (server, wrong_instance) =
+            (this_attempt.server, matches!(&end, AttemptResult::Answered(s) if s.status == 421));
+        let taken_us = self.now.saturating_sub(this_attempt.sent_at);
+        if let (Some(placed), None) = (this_attempt.placed, &request.drill_fault)
+            && let Some(ended) = version_outcome(&end, taken_us, placed.cold_until > this_attempt.sent_at)
         {
-            self.rollouts.ended(placed, open.route, ended);
+            self.rollouts.ended(placed, request.route, ended);
         }
         let outcome = match end {
             AttemptResult::Broken { execution: Execution::NeverRan } => Outcome::ConnectFailed,
             AttemptResult::Broken { execution: Execution::MayHaveRun } => Outcome::Reset,
-            AttemptResult::Answered(served) => match judge(&served) {
+            AttemptResult::Answered(served) => match outcome_of(&served) {
                 outcome @ (Outcome::Ok | Outcome::Rejected) => {
-                    if !open.closed {
+                    if !request.closed {
                         let ServerAnswer { status, headers, body, .. } = served;
                         self.counts.served += u64::from(outcome == Outcome::Ok);
-                        open.closed = true;
+                        request.closed = true;
                         let answer = Answer { status, headers, body };
-                        match open.rehearsed.take() {
+                        match request.drill_fault.take() {
                             None => out.push(Output::Answer(id, answer)),
-                            Some(fault) => {
-                                spoil(&mut self.late, (id, self.now, open.until), fault, answer, out)
-                            }
+                            Some(fault) => answer_with_fault(
+                                &mut self.delayed_answers,
+                                (id, self.now, request.deadline),
+                                fault,
+                                answer,
+                                out,
+                            ),
                         }
                     }
                     outcome
                 }
                 outcome => {
-                    // Passed on if nothing better comes, but never as a promise that this server did not give.
+                    // Forwarded if no other attempt succeeds, unless the client would read it as a promise that the
+                    // request has not run, which this server did not give.
                     let promise = matches!(served.status, 408 | 421 | 429 | 503);
                     if !promise {
                         let ServerAnswer { status, headers, body, .. } = served;
-                        open.spare = Some(Answer { status, headers, body });
+                        request.fallback = Some(Answer { status, headers, body });
                     }
                     outcome
                 }
             },
         };
-        if wrong {
+        if wrong_instance {
             self.counts.wrong_instance += 1;
             self.book.mislead(server);
             self.relist_at = Some(self.now);
         }
-        self.back.push_back((id, attempt, outcome));
+        self.outcomes.push_back((id, attempt, outcome));
     }
 
-    /// Hands outcomes to the decisions.
-    fn settle(&mut self, out: &mut Vec<Output>) {
-        while let Some((id, attempt, outcome)) = self.back.pop_front() {
-            let Some(open) = self.open.get_mut(&id) else { continue };
-            let closed = open.closed;
-            let Some(one) = open.tries.get_mut(attempt as usize).filter(|t| t.out) else { continue };
-            one.out = false;
-            let (server, latency_us) = (one.server, self.now.saturating_sub(one.sent_at));
+    /// Reports outcomes and exhausted plans to the decider.
+    fn report_outcomes(&mut self, out: &mut Vec<Output>) {
+        while let Some((id, attempt, outcome)) = self.outcomes.pop_front() {
+            let Some(request) = self.requests.get_mut(&id) else { continue };
+            let closed = request.closed;
+            let Some(this_attempt) = request.attempts.get_mut(attempt as usize).filter(|t| t.in_flight)
+            else {
+                continue;
+            };
+            this_attempt.in_flight = false;
+            let (server, latency_us) = (this_attempt.server, self.now.saturating_sub(this_attempt.sent_at));
             let (used, final_units) = (None, None);
             let back = Return { id, attempt, server, outcome, latency_us, closed, used, final_units };
             self.decide(Event::Returned(back), out);
-            self.forget(id);
+            self.remove_if_done(id);
         }
-        while let Some(plan) = self.spent.pop() {
-            self.decide(Event::Used { customer: plan as u64, used: SPENT }, out);
+        while let Some(plan) = self.exhausted_plans.pop() {
+            self.decide(Event::Used { customer: plan as u64, used: EXHAUSTED_USE }, out);
         }
     }
 
     fn decide(&mut self, event: Event, out: &mut Vec<Output>) {
-        let mut acts = std::mem::take(&mut self.acts);
-        self.decider.handle(self.now, event, &mut acts);
-        for act in acts.drain(..) {
-            self.act(act, out);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.decider.handle(self.now, event, &mut actions);
+        for action in actions.drain(..) {
+            self.apply_action(action, out);
         }
-        self.acts = acts;
+        self.actions = actions;
     }
 
-    fn act(&mut self, act: Action, out: &mut Vec<Output>) {
-        match act {
+    fn apply_action(&mut self, action: Action, out: &mut Vec<Output>) {
+        match action {
             Action::Send { id, server, timeout_us } => self.send(id, server, timeout_us, out),
             Action::Refuse { id, retry_after_us, over } => {
                 self.counts.refused += 1;
                 let (status, why) = if over { (429, "beyond the quota") } else { (503, "not now") };
-                self.answer(id, Answer::later(status, why, retry_after_us), out);
+                self.answer(id, Answer::retry_later(status, why, retry_after_us), out);
             }
             Action::Fail { id } => {
                 self.counts.failed += 1;
-                let Some(open) = self.open.get_mut(&id) else { return };
-                let (spare, status) = (open.spare.take(), if open.timed_out { 504 } else { 502 });
-                self.answer(id, spare.unwrap_or_else(|| Answer::plain(status, "no whole answer")), out);
+                let Some(request) = self.requests.get_mut(&id) else { return };
+                let (fallback, status) = (request.fallback.take(), if request.timed_out { 504 } else { 502 });
+                self.answer(id, fallback.unwrap_or_else(|| Answer::text(status, "no whole answer")), out);
             }
-            Action::Cancel { id, attempt } => self.give_up(id, attempt, Outcome::Cancelled, out),
+            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt, Outcome::Cancelled, out),
             Action::Watch => {}
-            Action::Timer { at_us, .. } => self.timer = Some(at_us),
+            Action::Timer { at_us, .. } => self.decider_timer = Some(at_us),
         }
     }
 
     fn send(&mut self, id: u64, server: u64, timeout_us: Micros, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let attempt = open.tries.len() as u32;
-        if let Some(Fault::UnreachableServer(away)) = &open.rehearsed
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = request.attempts.len() as u32;
+        if let Some(Fault::UnreachableServer(away)) = &request.drill_fault
             && self.peers.get(&server).is_some_and(|(p, _)| *p.id == **away)
         {
-            // Never sent, which tells the decisions nothing of that server.
-            open.tries.push(Try { server, sent_at: self.now, out: true, placed: None });
-            open.closed = true;
-            out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US)));
-            return self.back.push_back((id, attempt, Outcome::Moot));
+            // Never sent; the outcome `Moot` tells the decider nothing about that server.
+            request.attempts.push(Attempt { server, sent_at: self.now, in_flight: true, placed: None });
+            request.closed = true;
+            out.push(Output::Answer(id, Answer::retry_later(503, "not now", RETRY_AFTER_US)));
+            return self.outcomes.push_back((id, attempt, Outcome::Moot));
         }
-        let until = self.now.saturating_add(timeout_us).min(open.until);
+        let until = self.now.saturating_add(timeout_us).min(request.deadline);
         if attempt == 0 {
-            let (plan, nodes) = (open.plan, self.copy.state.nodes.len());
+            let (plan, nodes) = (request.plan, self.copy.state.nodes.len());
             if self.tenants.sent(self.now, plan, self.book.even(plan, nodes), nodes) {
-                self.spent.push(plan);
+                self.exhausted_plans.push(plan);
             }
-            if open.booking > 0 {
-                self.booked.passes(open.booking as usize);
+            if request.booking > 0 {
+                self.booking_usage.passes(request.booking as usize);
             }
-            self.rollouts.sent(open.service, open.route);
+            self.rollouts.sent(request.service, request.route);
         }
-        let placed = self.placed.get(&server).copied();
-        if std::mem::take(&mut open.reserved) && !placed.is_some_and(|p| p.trial) {
-            self.rollouts.give_back(open.service);
+        let placed = self.placements.get(&server).copied();
+        if std::mem::take(&mut request.trial_reserved) && !placed.is_some_and(|p| p.trial) {
+            self.rollouts.give_back(request.service);
         }
-        let again = open.tries.iter().any(|t| t.server == server);
-        open.tries.push(Try { server, sent_at: self.now, out: true, placed });
+        let again = request.attempts.iter().any(|t| t.server == server);
+        request.attempts.push(Attempt { server, sent_at: self.now, in_flight: true, placed });
         self.timeouts.add(until, id, attempt);
         self.counts.sent += 1;
         let Some((peer, _)) = self.peers.get(&server) else {
-            return self.back.push_back((id, attempt, Outcome::ConnectFailed));
+            return self.outcomes.push_back((id, attempt, Outcome::ConnectFailed));
         };
-        let (attempt_id, instance, passage) = (open.name.clone(), peer.id.clone(), open.passage.clone());
+        let (attempt_id, instance, passage) =
+            (request.attempt_id.clone(), peer.id.clone(), request.passage.clone());
         out.push(Output::Send(Job { id, attempt, server, attempt_id, instance, passage, again, until }));
     }
 
     fn answer(&mut self, id: u64, answer: Answer, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        if !open.closed {
-            open.closed = true;
-            if open.rehearsed.take().is_some_and(|f| f.ran() == Ran::AsServed) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if !request.closed {
+            request.closed = true;
+            if request.drill_fault.take().is_some_and(|f| f.ran() == Ran::AsServed) {
                 self.drills.real(id);
             }
             out.push(Output::Answer(id, answer));
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    fn give_up(&mut self, id: u64, attempt: u32, outcome: Outcome, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(one) = open.tries.get(attempt as usize).filter(|t| t.out) else { return };
-        let late = (outcome == Outcome::TimedOut).then_some(one.sent_at);
-        open.timed_out |= late.is_some();
-        if let (Some(placed), Some(_), None) = (one.placed, late, &open.rehearsed) {
-            self.rollouts.ended(placed, open.route, Ended::Failed);
+    fn cancel_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(this_attempt) = request.attempts.get(attempt as usize).filter(|t| t.in_flight) else {
+            return;
+        };
+        let late = (outcome == Outcome::TimedOut).then_some(this_attempt.sent_at);
+        request.timed_out |= late.is_some();
+        if let (Some(placed), Some(_), None) = (this_attempt.placed, late, &request.drill_fault) {
+            self.rollouts.ended(placed, request.route, Ended::Failed);
         }
-        out.push(Output::CancelAttempt { id, attempt, server: one.server, timed_out_sent_at: late });
-        self.back.push_back((id, attempt, outcome));
+        out.push(Output::CancelAttempt { id, attempt, server: this_attempt.server, timed_out_sent_at: late });
+        self.outcomes.push_back((id, attempt, outcome));
     }
 
-    fn forget(&mut self, id: u64) {
-        if let Occupied(open) = self.open.entry(id)
-            && open.get().closed
-            && !open.get().tries.iter().any(|t| t.out)
+    fn remove_if_done(&mut self, id: u64) {
+        if let Occupied(entry) = self.requests.entry(id)
+            && entry.get().closed
+            && !entry.get().attempts.iter().any(|t| t.in_flight)
         {
-            let open = open.remove();
-            if open.reserved {
-                self.rollouts.give_back(open.service);
+            let request = entry.remove();
+            if request.trial_reserved {
+                self.rollouts.give_back(request.service);
             }
         }
     }
 
-    fn due(&mut self, out: &mut Vec<Output>) {
+    fn run_due(&mut self, out: &mut Vec<Output>) {
         while let Some((id, attempt)) = self.timeouts.due(self.now) {
-            self.give_up(id, attempt, Outcome::TimedOut, out);
-            self.settle(out);
+            self.cancel_attempt(id, attempt, Outcome::TimedOut, out);
+            self.report_outcomes(out);
         }
-        if self.timer.is_some_and(|at| at <= self.now) {
-            self.timer = None;
+        if self.decider_timer.is_some_and(|at| at <= self.now) {
+            self.decider_timer = None;
             self.decide(Event::Timer { token: 0 }, out);
-            self.settle(out);
+            self.report_outcomes(out);
         }
         if self.relist_at.is_some_and(|at| at <= self.now) {
-            self.relist(out);
+            self.rebuild_list(out);
         }
-        while let Some(entry) = self.late.first_entry().filter(|e| e.key().0 <= self.now) {
+        while let Some(entry) = self.delayed_answers.first_entry().filter(|e| e.key().0 <= self.now) {
             let ((_, id), answer) = entry.remove_entry();
             out.push(Output::Answer(id, answer));
         }
-        let waited = self.held.iter().filter(|(_, (_, _, until))| *until <= self.now);
+        let waited = self.awaiting_grant.iter().filter(|(_, (_, _, until))| *until <= self.now);
         for id in waited.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.drills.late(id);
-            self.go_on(id, None, out);
+            self.resume(id, None, out);
         }
-        if self.look_at <= self.now {
-            self.hold(out);
+        if self.holds_due_at <= self.now {
+            self.update_holds(out);
         }
     }
 
     // ---- drills ----
 
-    /// What becomes of a request whose caller may be drilled.
-    fn rehearses(&mut self, ask: &ClientRequest) -> Verdict {
-        // What no configuration allows is refused as ever.
-        let Ok((route, tenant)) = whose(&self.config, ask) else { return Verdict::Pass };
+    /// Whether a drill applies to this request.
+    fn check_drills(&mut self, request: &ClientRequest) -> Verdict {
+        // A request without a route or with a wrong key is refused as usual, by `accept`.
+        let Ok((route, tenant)) = route_and_tenant(&self.config, request) else { return Verdict::Pass };
         let meeting = Meeting {
-            id: ask.id,
+            id: request.id,
             tenant: tenant.map(|t| t.name.as_str()),
-            key: ask.key.as_deref(),
+            key: request.key.as_deref(),
             route: &route.name,
-            head: &ask.head,
-            attempt: &ask.attempt_id,
-            left_us: ask.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000),
+            head: &request.head,
+            attempt: &request.attempt_id,
+            left_us: request.left_us.unwrap_or(Micros::MAX).min(route.deadline_ms * 1000),
         };
         self.drills.meets(self.now, &meeting)
     }
 
-    /// A request that waited for a grant goes on.
-    fn go_on(&mut self, id: u64, met: Option<Met>, out: &mut Vec<Output>) {
-        let Some((mut ask, since, _)) = self.held.remove(&id) else { return };
-        ask.left_us = ask.left_us.map(|left| left.saturating_sub(self.now - since));
+    /// Continues a request that waited for a drill's grant; `met`: the granted fault.
+    fn resume(&mut self, id: u64, met: Option<Met>, out: &mut Vec<Output>) {
+        let Some((mut request, since, _)) = self.awaiting_grant.remove(&id) else { return };
+        request.left_us = request.left_us.map(|left| left.saturating_sub(self.now - since));
         match met {
-            Some(met) => self.strike(ask, met, out),
-            None => self.take(ask, None, out),
+            Some(met) => self.apply_drill_fault(request, met, out),
+            None => self.accept(request, None, out),
         }
     }
 
-    fn strike(&mut self, ask: ClientRequest, met: Met, out: &mut Vec<Output>) {
-        let (id, fault) = (ask.id, met.fault.clone());
-        out.push(Output::DrillFault { id, attempt_id: ask.attempt_id.clone(), met });
+    fn apply_drill_fault(&mut self, request: ClientRequest, met: Met, out: &mut Vec<Output>) {
+        let (id, fault) = (request.id, met.fault.clone());
+        out.push(Output::DrillFault { id, attempt_id: request.attempt_id.clone(), met });
         match fault {
-            Fault::Refused => out.push(Output::Answer(id, Answer::later(503, "not now", RETRY_US))),
+            Fault::Refused => {
+                out.push(Output::Answer(id, Answer::retry_later(503, "not now", RETRY_AFTER_US)))
+            }
             Fault::NoServer => {
-                out.push(Output::Answer(id, Answer::later(503, "no server is known", RETRY_US)))
+                out.push(Output::Answer(id, Answer::retry_later(503, "no server is known", RETRY_AFTER_US)))
             }
             Fault::Closed => {
                 self.drills.gone(id);
                 out.push(Output::Close(id));
             }
-            fault => self.take(ask, Some(fault), out),
+            fault => self.accept(request, Some(fault), out),
         }
     }
 
     fn leave_drills(&mut self, id: u64) {
-        self.held.remove(&id);
-        self.late.retain(|(_, of), _| *of != id);
+        self.awaiting_grant.remove(&id);
+        self.delayed_answers.retain(|(_, request), _| *request != id);
         self.drills.gone(id);
     }
 
-    /// What is to go up the tree of drills, if anything.
+    /// Rows on drills that are to be sent up the tree now.
     pub fn drill_rows(&mut self, now: Micros) -> Vec<Rows> {
         if self.drills.idle() { Vec::new() } else { self.drills.tells(now) }
     }
 
-    /// What is to go up the tree of rollouts, if anything.
+    /// Tallies of rollouts that are to be sent up the tree now.
     pub fn tallies(&mut self, now: Micros) -> Vec<Tally> {
-        // By how servers are placed now: what was sent before the order counts too.
-        let (open, placed) = (&self.open, &self.placed);
-        let old_out = |epoch| {
-            let of = |p: &Placed| p.epoch == epoch && p.side == Side::Old;
-            let old = |t: &&Try| t.out && placed.get(&t.server).is_some_and(of);
-            open.values().flat_map(|o| &o.tries).filter(old).count() as u32
+        // By the present side of each server, so that attempts sent before the rollout began count too.
+        let (requests, placements) = (&self.requests, &self.placements);
+        let old_in_flight = |epoch| {
+            let on_old_side = |p: &Placed| p.epoch == epoch && p.side == Side::Old;
+            let old = |t: &&Attempt| t.in_flight && placements.get(&t.server).is_some_and(on_old_side);
+            requests.values().flat_map(|r| &r.attempts).filter(old).count() as u32
         };
-        self.rollouts.tallies(now, self.copy.rev(), old_out)
+        self.rollouts.tallies(now, self.copy.rev(), old_in_flight)
     }
 
-    fn learn_drills(&mut self, out: &mut Vec<Output>) {
+    fn update_drills(&mut self, out: &mut Vec<Output>) {
         let agreed = &self.copy.state.drills;
         if agreed.0.is_empty() && self.drills.idle() {
             return;
         }
         let c = &self.counts;
-        let failed = ((c.refused + c.failed) * 1000 / c.asked.max(1)) as u32;
-        for (id, met) in self.drills.learn(self.now, agreed, failed) {
-            self.go_on(id, met, out);
+        let failed_permille = ((c.refused + c.failed) * 1000 / c.asked.max(1)) as u32;
+        for (id, met) in self.drills.learn(self.now, agreed, failed_permille) {
+            self.resume(id, met, out);
         }
     }
 
-    // ---- the meter ----
+    // ---- quotas ----
 
-    /// What is done here for tenants, for the next report.
+    /// The use of tenants and bookings at this proxy since the last call, for the next report.
     pub fn tenant_usage(&mut self, now: Micros) -> Vec<Use> {
         let mut uses = self.tenants.uses(now, |plan| self.book.key(plan));
         if !self.cramp.is_empty() {
-            uses.extend(self.booked.uses(now, |number| self.cramp.key(number)));
+            uses.extend(self.booking_usage.uses(now, |number| self.cramp.key(number)));
         }
         uses
     }
 
-    /// Others should hear soon of what is asked here.
+    /// Whether demand has jumped, so that the next report should go out early. Resets itself.
     pub fn wants_early_report(&mut self) -> bool {
-        std::mem::take(&mut self.tenants.hurries) | std::mem::take(&mut self.booked.hurries)
+        std::mem::take(&mut self.tenants.hurries) | std::mem::take(&mut self.booking_usage.hurries)
     }
 
-    fn meter(&mut self, readings: &[Reading], made_at: Micros, out: &mut Vec<Output>) {
+    fn apply_readings(&mut self, readings: &[Reading], made_at: Micros, out: &mut Vec<Output>) {
         let nodes = self.copy.state.nodes.len();
         for (plan, rate) in self.book.quotas() {
             let key = self.book.key(plan);
@@ -720,47 +769,48 @@
         }
     }
 
-    // ---- news ----
+    // ---- state updates ----
 
-    fn news(&mut self, news: News, out: &mut Vec<Output>) {
-        // A gap is mended by the next report, which tells how far this copy has come.
-        let of_drills = |c: &Command| matches!(c, Command::Drill(_));
-        let adds_servers_alone = adds_servers_alone(&news);
-        let drills_alone = matches!(&news, News::Run { commands, .. }
-            if !commands.is_empty() && commands.iter().all(|(_, c)| of_drills(c)));
-        if !self.take_news(news) {
+    fn apply_news(&mut self, news: News, out: &mut Vec<Output>) {
+        // If commands are missing, they are sent again after the next report, which tells this copy's revision.
+        let is_drill = |c: &Command| matches!(c, Command::Drill(_));
+        let only_adds_servers = only_adds_servers(&news);
+        let only_drills = matches!(&news, News::Run { commands, .. }
+            if !commands.is_empty() && commands.iter().all(|(_, c)| is_drill(c)));
+        if !self.update_copy(news) {
             return;
         }
-        self.learn_drills(out);
-        if drills_alone {
-            return; // nothing that the decisions are to hear of
+        self.update_drills(out);
+        if only_drills {
+            return; // nothing that the decider depends on
         }
         let newer = self.copy.state.config.as_ref();
         let newer = newer.filter(|new| self.config.as_ref().is_none_or(|(c, _)| !Arc::ptr_eq(c, new)));
         let nodes = &self.copy.state.nodes;
         let index = nodes.keys().position(|ip| *ip == self.place.ip).unwrap_or(0);
-        let among = (nodes.len(), index);
-        // Most news is of servers, which the settings of the decisions do not depend on.
-        if newer.is_some() || among != self.among {
+        let membership = (nodes.len(), index);
+        // Most updates concern servers, which the decider's settings do not depend on.
+        if newer.is_some() || membership != self.membership {
             if let Some(config) = newer {
                 self.config = Some((config.clone(), config.index()));
             }
-            self.among = among;
-            self.settle_in();
+            self.membership = membership;
+            self.reconfigure();
         }
         let book = &self.book;
-        self.rollouts.learn(self.now, &self.copy.state.rollouts, among.0, |service| book.service(service));
-        let soon = self.listed_at + GATHER_US;
-        if adds_servers_alone && !self.rollouts.is_idle() && self.now < soon {
-            self.relist_at = Some(self.relist_at.map_or(soon, |at| at.min(soon)));
+        self.rollouts
+            .learn(self.now, &self.copy.state.rollouts, membership.0, |service| book.service(service));
+        let rebuild_at = self.listed_at + RELIST_INTERVAL_US;
+        if only_adds_servers && !self.rollouts.is_idle() && self.now < rebuild_at {
+            self.relist_at = Some(self.relist_at.map_or(rebuild_at, |at| at.min(rebuild_at)));
             return;
         }
-        self.relist(out);
+        self.rebuild_list(out);
     }
 
-    /// Takes news into the copy; where something is booked a command at a time, as a part that was smaller for a moment
-    /// binds too.
-    fn take_news(&mut self, news: News) -> bool {
+    /// Applies an update to the copy; true: the copy has changed. Where there are bookings, commands are applied one at a
+    /// time, because a share that was smaller only for a moment binds too.
+    fn update_copy(&mut self, news: News) -> bool {
         let booked = !self.copy.state.bookings.is_empty();
         let mut changed = false;
         match news {
@@ -769,8 +819,8 @@
             {
                 let last = commands.last().map_or(from, |c| c.0);
                 for (rev, command) in commands {
-                    let one = News::Run { from, to: rev, commands: vec![(rev, command)] };
-                    if self.copy.take(self.now, one) == Took::Changed {
+                    let single = News::Run { from, to: rev, commands: vec![(rev, command)] };
+                    if self.copy.take(self.now, single) == Took::Changed {
                         changed = true;
                         self.cramp.learn(self.now, &self.copy.state, false);
                     }
@@ -789,15 +839,15 @@
             News::Run { .. } => changed = self.copy.take(self.now, news) == Took::Changed,
         }
         if !self.cramp.is_empty() {
-            self.look_at = self.now;
+            self.holds_due_at = self.now;
         }
         changed
     }
 
     // ---- bookings ----
 
-    /// The booking that a request comes under; 0: none.
-    fn come_under(&self, tenant: Option<&Tenant>, route: &Route, service: u32) -> u32 {
+    /// The number of the booking that a request counts under; 0: none.
+    fn booking_of(&self, tenant: Option<&Tenant>, route: &Route, service: u32) -> u32 {
         if self.cramp.is_empty() {
             return 0;
         }
@@ -806,46 +856,46 @@
         self.cramp.booking(self.now, tenant.map(|t| t.name.as_str()), &route.name, to)
     }
 
-    /// When this proxy last held all that was acknowledged, as the feed has it.
+    /// `at`: when this proxy last held all acknowledged state, as the feed knows it.
     pub fn set_fresh_at(&mut self, now: Micros, at: Option<Micros>) {
         self.now = self.now.max(now);
         if self.cramp.fresh(self.now, at) && !self.cramp.is_empty() {
-            self.look_at = self.now;
+            self.holds_due_at = self.now;
         }
     }
 
-    /// Tells the decisions what bookings hold here, if that has changed.
-    fn hold(&mut self, out: &mut Vec<Output>) {
+    /// Recomputes this proxy's reservations for bookings and tells the decider if they have changed.
+    fn update_holds(&mut self, out: &mut Vec<Output>) {
         let holds = self.cramp.holds(self.now, self.copy.state.nodes.len(), &self.book);
-        self.look_at = self.cramp.wake_at(self.now);
+        self.holds_due_at = self.cramp.wake_at(self.now);
         if holds == self.holds {
             return;
         }
         self.holds = holds;
-        let mut acts = std::mem::take(&mut self.acts);
-        self.decider.hold(self.now, &self.holds, &mut acts);
-        for act in acts.drain(..) {
-            self.act(act, out);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.decider.hold(self.now, &self.holds, &mut actions);
+        for action in actions.drain(..) {
+            self.apply_action(action, out);
         }
-        self.acts = acts;
-        self.settle(out);
+        self.actions = actions;
+        self.report_outcomes(out);
     }
 
-    /// Holds what this state has of bookings, which no news told of: for baselines that agree on nothing.
+    /// Applies the bookings of this state directly: for baselines without replicated state, which get no updates.
     pub fn apply_bookings(&mut self, now: Micros, state: &State) {
         self.now = self.now.max(now);
         self.cramp.learn(self.now, state, false);
-        self.look_at = self.now;
+        self.holds_due_at = self.now;
     }
 
-    /// What is held of each booking here, for who watches.
+    /// This proxy's share of each booking, for observers.
     pub fn bookings(&self) -> BTreeMap<&str, Shown> {
         self.cramp.show(self.now)
     }
 
-    /// Sets the decisions by the configuration and by how many proxies there are.
-    fn settle_in(&mut self) {
-        let (nodes, index) = self.among;
+    /// Sets the decider by the configuration and the number of proxies.
+    fn reconfigure(&mut self) {
+        let (nodes, index) = self.membership;
         if let Some((config, _)) = &self.config {
             self.book.learn(config, nodes);
             let longest = config.routes.iter().map(|r| r.deadline_ms).max().unwrap_or(0);
@@ -853,13 +903,13 @@
         }
         let balancers = nodes.max(index + 1) as u32;
         let settings = self.book.settings(balancers, index as u32, self.beat_us);
-        // What was sane before stays in force: a configuration that is taken makes sane settings.
+        // An accepted configuration always makes valid settings; if it did not, the old ones would stay in force.
         let _ = self.decider.reconfigure(settings);
     }
 
-    fn relist(&mut self, out: &mut Vec<Output>) {
+    fn rebuild_list(&mut self, out: &mut Vec<Output>) {
         let List { entries, peers, placed, changes_at } = self.book.list(self.now, &self.copy.state);
-        (self.relist_at, self.listed_at, self.placed) = (changes_at, self.now, placed);
+        (self.relist_at, self.listed_at, self.placements) = (changes_at, self.now, placed);
         let gone: Vec<u64> = self.peers.keys().filter(|n| !peers.contains_key(n)).copied().collect();
         for server in gone {
             self.peers.remove(&server);
@@ -875,45 +925,47 @@
     }
 }
 
-/// While a rollout runs, servers come by the hundred, each with news of its own; the list is made anew for all that come within
-/// so long.
-const GATHER_US: Micros = 150_000;
+/// The shortest time between two rebuilds of the list of servers for added servers during a rollout, when hundreds of
+/// them appear, each with an update of its own.
+const RELIST_INTERVAL_US: Micros = 150_000;
 
-/// The news tell of nothing but servers that are there, and take none away.
-fn adds_servers_alone(news: &News) -> bool {
+/// Whether the update only adds servers or their versions.
+fn only_adds_servers(news: &News) -> bool {
     let adds = |c: &ServerChange| matches!(c, ServerChange::Up(_) | ServerChange::Runs { .. });
-    let of = |command: &Command| matches!(command, Command::Servers(all) if all.iter().all(adds));
-    matches!(news, News::Run { commands, .. } if !commands.is_empty() && commands.iter().all(|(_, c)| of(c)))
+    let adds_only = |command: &Command| matches!(command, Command::Servers(all) if all.iter().all(adds));
+    matches!(news, News::Run { commands, .. } if !commands.is_empty() && commands.iter().all(|(_, c)| adds_only(c)))
 }
 
-/// A quota of which nothing is left but the even share, as from now: what was saved up is spent.
-const SPENT: f64 = 1.2;
+/// The use of a quota, as a fraction of it, that the decider is told for a plan that has used up what may be sent ahead of
+/// a reading: above 1, so that only this proxy's even share remains from now on and savings count as spent.
+const EXHAUSTED_USE: f64 = 1.2;
 
-/// When there is nothing that could serve, it is worth asking again after so long.
-const RETRY_US: Micros = 500_000;
+/// The `Retry-After` of refusals that are decided here and not by the decider.
+const RETRY_AFTER_US: Micros = 500_000;
 
-/// The route and the tenant of a request, or why it may not be.
-fn whose<'c>(
+/// The route and the tenant of a request, or the answer that refuses it.
+fn route_and_tenant<'c>(
     config: &'c Option<(Arc<Config>, Index)>,
-    ask: &ClientRequest,
+    request: &ClientRequest,
 ) -> Result<(&'c Route, Option<&'c Tenant>), Answer> {
     let Some((config, index)) = config else {
-        return Err(Answer::later(503, "no configuration yet", 200_000));
+        return Err(Answer::retry_later(503, "no configuration yet", 200_000));
     };
-    let path = ask.target.split(['?', '#']).next().unwrap_or("");
-    let Some(route) = index.route(&ask.host, path).map(|n| &config.routes[n]) else {
-        return Err(Answer::plain(404, "no route"));
+    let path = request.target.split(['?', '#']).next().unwrap_or("");
+    let Some(route) = index.route(&request.host, path).map(|n| &config.routes[n]) else {
+        return Err(Answer::text(404, "no route"));
     };
     if !index.needs_keys() || route.keyless {
         return Ok((route, None));
     }
-    let found = ask.key.as_deref().and_then(|k| index.tenant_by_key(k));
-    let Some(found) = found else { return Err(Answer::plain(401, "no such key")) };
+    let found = request.key.as_deref().and_then(|k| index.tenant_by_key(k));
+    let Some(found) = found else { return Err(Answer::text(401, "no such key")) };
     Ok((route, config.tenants.as_ref().map(|t| &t[found])))
 }
 
-/// What a rehearsal makes of a server's whole answer. The request has run, so nothing of it is a promise.
-fn spoil(
+/// Applies a drill's fault to a server's complete answer. The request has run, so no answer here may promise that it has
+/// not.
+fn answer_with_fault(
     late: &mut BTreeMap<(Micros, u64), Answer>,
     (id, now, until): (u64, Micros, Micros),
     fault: Fault,
@@ -926,22 +978,22 @@
             if at < until {
                 late.insert((at, id), answer);
             } else {
-                late.insert((until.max(now), id), Answer::plain(504, "no whole answer"));
+                late.insert((until.max(now), id), Answer::text(504, "no whole answer"));
             }
         }
         Fault::Slow { ms } => out.push(Output::Slow(id, answer, Micros::from(ms) * 1000)),
         Fault::Cut => out.push(Output::Cut(id, answer)),
-        Fault::Lost => out.push(Output::Answer(id, Answer::plain(502, "no whole answer"))),
+        Fault::Lost => out.push(Output::Answer(id, Answer::text(502, "no whole answer"))),
         _ => out.push(Output::Answer(id, answer)),
     }
 }
 
-/// What the end of an attempt says of the version of its server, if anything.
-fn tells_of_version(end: &AttemptResult, taken_us: Micros, cold: bool) -> Option<Ended> {
+/// What the result of an attempt says about the version of its server, if anything.
+fn version_outcome(end: &AttemptResult, taken_us: Micros, cold: bool) -> Option<Ended> {
     match end {
         AttemptResult::Broken { execution: Execution::NeverRan } => None,
         AttemptResult::Broken { execution: Execution::MayHaveRun } => Some(Ended::Failed),
-        AttemptResult::Answered(served) => match judge(served) {
+        AttemptResult::Answered(served) => match outcome_of(served) {
             Outcome::Ok => Some(Ended::Served { taken_us, cold }),
             Outcome::Full | Outcome::ConnectFailed => None,
             _ => Some(Ended::Failed),
@@ -949,21 +1001,21 @@
     }
 }
 
-/// What an answer says of its attempt.
-fn judge(served: &ServerAnswer) -> Outcome {
+/// The outcome of an attempt that a server has answered.
+fn outcome_of(served: &ServerAnswer) -> Outcome {
     match served.status {
-        // Another server's address by now: it did not run there, and says nothing of the load.
+        // Misdirected: another instance has the address by now. It did not run, and says nothing about the load.
         421 => Outcome::ConnectFailed,
         _ if served.not_run => Outcome::Full,
         200..400 => Outcome::Ok,
-        // Promises that nobody gave: the request may have run.
+        // Without `X-Not-Executed` these do not promise that the request has not run.
         408 | 429 => Outcome::Error,
         400..500 => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
-/// One of the route's services by weight, of those that have a server to be sent to.
+/// Draws one of the route's services by weight, among those that have a server that may get requests.
 fn pick_service(
     book: &Book,
     peers: &BTreeMap<u64, (Peer, bool)>,
@@ -988,13 +1040,13 @@
     alive.first().or(route.to.iter().collect::<Vec<_>>().first()).and_then(|(name, _)| book.service(name))
 }
 
-/// Request line and headers for any server.
-fn head(ask: &ClientRequest, tenant: Option<&Tenant>) -> Vec<u8> {
-    let mut head = Vec::with_capacity(ask.head.len() + ask.target.len() + 160);
-    for part in [&ask.method, " ", &ask.target, " HTTP/1.1\r\n"] {
+/// The request line and the headers that go to every server.
+fn request_head(request: &ClientRequest, tenant: Option<&Tenant>) -> Vec<u8> {
+    let mut head = Vec::with_capacity(request.head.len() + request.target.len() + 160);
+    for part in [&request.method, " ", &request.target, " HTTP/1.1\r\n"] {
         head.extend_from_slice(part.as_bytes());
     }
-    head.extend_from_slice(&ask.head);
+    head.extend_from_slice(&request.head);
     if let Some(tenant) = tenant {
         head.extend_from_slice(format!("X-Tenant-Name: {}\r\n", tenant.name).as_bytes());
     }
