--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Agreed states, made by commands, and a proxy that hears of them.
-#![allow(dead_code)] // each test file uses a part of it
+//! Builds cluster states from commands, and a proxy that is told of them.
+#![allow(dead_code)] // each test file uses only some of it
 
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
@@ -28,7 +28,7 @@
     r#"["deep","h","/get/deep/","unsafe","stilt",null,2000,1000,3,true,null]"#,
 ];
 
-/// Without a limit: reed; at home in the south: rush; with a quota: sedge.
+/// Tenants: reed has no limit, rush may be served only in the south, sedge has a quota.
 pub fn config(version: u32, routes: &[&str]) -> Command {
     let body = format!(
         r#"{{"config_version":"{version:08x}","limits":{{}},
@@ -53,7 +53,7 @@
     Command::Nodes(of.iter().map(|(last, zone)| NodeChange::Up(node(*last, zone))).collect())
 }
 
-/// Each at its own address, by its number.
+/// A server at an address of its own that is derived from `number`.
 pub fn server(number: u8, id: &str, service: &str, zone: &str, cold_ms: u32) -> Command {
     Command::Servers(vec![ServerChange::Up(Server {
         id: id.into(),
@@ -94,12 +94,14 @@
     }
 }
 
-/// A proxy in zone north-a, and what it has been told of servers.
+/// A proxy in zone north-a with the outputs of its dispatcher.
 pub struct Proxy {
     pub now: u64,
     pub front: Dispatcher,
     pub rev: u64,
+    /// Outputs of the last input.
     pub out: Vec<Output>,
+    /// The listed servers, and whether each may get new requests.
     pub ids: BTreeMap<u64, (String, bool)>,
     asked: u64,
 }
@@ -112,7 +114,7 @@
         proxy
     }
 
-    /// With the usual configuration and these servers of heron: their names and zones.
+    /// With the usual configuration and these servers of the service heron (name and zone).
     pub fn with(servers: &[(&str, &str)]) -> Proxy {
         let mut proxy = Proxy::new(vec![nodes(&[(1, "north-a")]), config(1, &ROUTES)]);
         for (n, (id, zone)) in (1..).zip(servers) {
@@ -121,6 +123,7 @@
         proxy
     }
 
+    /// Applies a command as the next update of the state.
     pub fn learn(&mut self, command: Command) {
         let (from, to) = (self.rev, self.rev + 1);
         self.rev = to;
@@ -178,19 +181,19 @@
         self.end(id, attempt, AttemptResult::Broken { execution });
     }
 
-    /// The one attempt that the last input led to.
+    /// The attempt that the last input led to, at most one.
     pub fn sent(&self) -> Option<&Job> {
         let mut jobs =
             self.out.iter().filter_map(|o| if let Output::Send(job) = o { Some(job) } else { None });
         let (first, second) = (jobs.next(), jobs.next());
-        assert!(second.is_none(), "one at most");
+        assert!(second.is_none(), "at most one attempt");
         first
     }
 
-    /// The server that it goes to.
+    /// The instance that this attempt goes to.
     pub fn goes_to(&self) -> Option<&str> {
         self.sent().map(|job| {
-            assert_eq!(self.ids[&job.server].0, &*job.instance, "the life that may run it");
+            assert_eq!(self.ids[&job.server].0, &*job.instance, "the instance that may run it");
             &*job.instance
         })
     }
@@ -203,7 +206,7 @@
         self.answer().map(|a| a.status)
     }
 
-    /// The answer says when to come again.
+    /// Whether the answer has a positive `Retry-After`.
     pub fn says_when(&self) -> bool {
         let headers = String::from_utf8(self.answer().expect("an answer").headers.clone()).expect("text");
         let after = headers.lines().find_map(|l| l.strip_prefix("Retry-After: "));
