--- a/crates/proxy/tests/dispatcher.rs
+++ b/crates/proxy/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The proxy's decisions on requests: which server, how often, and what may be answered.
+//! The dispatcher of requests: which server gets a request, how often it is retried, and what may be answered.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 #[test]
 fn an_evacuation_shuts_the_servers_of_its_own_zone_though_names_and_numbers_differ_in_order() {
-    // The last by name became known first.
+    // The last by name is listed first.
     let mut proxy = Proxy::with(&[("z", "north-a"), ("m", "north-b"), ("a", "north-a"), ("k", "south-a")]);
     proxy.learn(evacuate("north-b", true));
     assert_eq!(proxy.up(), ["z", "a", "k"]);
@@ -22,7 +22,8 @@
 
 #[test]
 fn a_download_stays_in_its_region_only_while_a_server_there_may_take_it() {
-    // Path, key, whether the north is open; where it goes. The route /far/ and the tenant of k2 are at home in the south.
+    // Path, key, whether north-b serves; the expected server. The route /far/ and the tenant of k2 may be served only in
+    // the south.
     for (path, key, open, to) in [
         ("/load/", "k1", true, "n"),
         ("/load/", "k1", false, "s"),
@@ -34,7 +35,7 @@
         proxy.ask(path, Some(key));
         assert_eq!(proxy.goes_to(), Some(to), "{path} {key} {open}");
     }
-    // Full is no reason to go far, save for what is small.
+    // A full server makes only a small request go to another region, not a download.
     for (path, second) in [("/load/", "n"), ("/get/", "s")] {
         let mut proxy = Proxy::with(&[("s", "south-a"), ("n", "north-a")]);
         let id = proxy.ask(path, Some("k1"));
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_nearer_server_that_has_its_part_out_gives_way_to_a_farther_one() {
+fn a_farther_server_is_used_when_the_nearer_one_has_this_proxys_share_in_flight() {
     let mut proxy = Proxy::with(&[("far", "south-a"), ("near", "north-a")]);
     let went: Vec<String> = (0..6)
         .map(|_| {
@@ -82,7 +83,7 @@
     }
     let mut proxy = Proxy::with(&[("a", "north-a")]);
     proxy.ask("/get/deep/x", None);
-    assert!(proxy.out.is_empty(), "the longest prefix counts: that route's service has no server yet");
+    assert!(proxy.out.is_empty(), "the longest prefix wins; that route's service has no server yet");
     while proxy.status().is_none() {
         proxy.now = proxy.front.wake_at();
         proxy.tell(Input::Tick);
@@ -96,13 +97,13 @@
 }
 
 #[test]
-fn a_server_that_is_another_one_by_now_gets_nothing_more_under_its_old_name() {
+fn a_server_that_answers_421_gets_nothing_more_under_its_old_name() {
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
     let id = proxy.ask("/put/", Some("k1"));
     let first = proxy.goes_to().expect("sent").to_string();
     let other = if first == "a" { "b" } else { "a" };
     proxy.served(id, 0, 421, false);
-    assert_eq!(proxy.goes_to(), Some(other), "it did not run there, so it goes on");
+    assert_eq!(proxy.goes_to(), Some(other), "it did not run there, so it is sent to another server");
     assert_eq!(proxy.up(), [other]);
     proxy.served(id, 1, 200, false);
     assert_eq!(proxy.status(), Some(200));
@@ -112,15 +113,16 @@
         assert_eq!(proxy.goes_to(), Some(other));
         proxy.served(id, 0, 200, false);
     }
-    // Who has taken its address is a server like any other.
+    // The server that has taken over the address is listed like any other.
     let number = if first == "a" { 1 } else { 2 };
     proxy.learn(server(number, "new", "heron", "north-a", 0));
     assert_eq!(proxy.up(), [other, "new"]);
 }
 
 #[test]
-fn no_answer_promises_what_no_server_promised() {
-    // How the first attempt at an unsafe request ends: status, whether said not to have run; the answer, if it ends.
+fn only_a_request_that_has_not_run_is_answered_as_not_executed() {
+    // How the first attempt at an unsafe request ends: status, whether the server says that it has not run it; the answer,
+    // or none if another server is tried.
     for (status, not_run, answer) in [
         (200, false, Some(200)),
         (400, false, Some(400)),
@@ -140,7 +142,7 @@
         assert_eq!(proxy.sent().is_some(), answer.is_none(), "{status} {not_run}");
         assert!(proxy.goes_to().is_none_or(|to| to != first), "another server");
     }
-    // Nowhere run: the promise is true.
+    // It has run nowhere, so the answer may say so.
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a"), ("c", "north-a")]);
     let id = proxy.ask("/put/", Some("k1"));
     for attempt in 0..3 {
@@ -149,7 +151,7 @@
     }
     assert_eq!((proxy.status(), proxy.goes_to()), (Some(503), None));
     assert!(proxy.says_when());
-    // Run once, refused elsewhere: no promise any more.
+    // Refused by one server, and possibly run by another: the answer may no longer say that it has not run.
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
     let id = proxy.ask("/put/", Some("k1"));
     proxy.served(id, 0, 503, true);
@@ -160,7 +162,7 @@
 
 #[test]
 fn after_a_broken_connection_only_what_may_run_twice_or_never_ran_goes_again() {
-    for (path, reached, again) in [
+    for (path, execution, again) in [
         ("/put/", Execution::MayHaveRun, false),
         ("/put/", Execution::NeverRan, true),
         ("/get/", Execution::MayHaveRun, true),
@@ -170,12 +172,13 @@
         let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
         let id = proxy.ask(path, Some("k1"));
         let first = proxy.goes_to().expect("sent").to_string();
-        proxy.broken(id, 0, reached);
-        assert_eq!(proxy.sent().is_some(), again, "{path} {reached:?}");
-        assert_eq!(proxy.status(), (!again).then_some(502), "{path} {reached:?}");
+        proxy.broken(id, 0, execution);
+        assert_eq!(proxy.sent().is_some(), again, "{path} {execution:?}");
+        assert_eq!(proxy.status(), (!again).then_some(502), "{path} {execution:?}");
         assert!(proxy.goes_to().is_none_or(|to| to != first), "another server");
     }
-    // Silence: an unsafe request is not sent again when its time is up, and 504 promises nothing.
+    // No answer at all: an unsafe request is not retried after its timeout, and gets 504, which does not say that it has
+    // not run.
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
     proxy.ask("/put/", Some("k1"));
     proxy.now = proxy.sent().expect("sent").until;
@@ -210,16 +213,16 @@
                 }
             }
         }
-        // Of its burst of 40 a proxy that starts counts on one request, however many there are: an earlier life may
-        // have spent the rest.
+        // A proxy that has just started uses one request of the burst of 40, however many proxies there are: the previous
+        // process may have spent the rest.
         assert_eq!(sent, 1, "of {nodes_known} proxies");
         proxy.ask("/get/", Some("k1"));
-        assert_eq!(proxy.status(), None, "others have their own");
+        assert_eq!(proxy.status(), None, "other tenants are not affected");
     }
 }
 
 #[test]
-fn what_is_known_never_goes_back() {
+fn older_or_gapped_updates_do_not_change_the_state() {
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-b")]);
     let old = proxy.front.copy.state.write(proxy.now);
     let rev = proxy.rev;
@@ -233,7 +236,7 @@
         commands: vec![(rev + 1, evacuate("north-a", false))],
     }));
     assert!(proxy.out.is_empty());
-    // A run that begins beyond what is known is not taken either.
+    // A run of commands that starts beyond the known revision is not applied either.
     let to = proxy.rev + 5;
     proxy.tell(Input::News(News::Run { from: to - 1, to, commands: vec![(to, evacuate("north-b", true))] }));
     assert_eq!((proxy.up(), proxy.front.copy.rev()), (vec!["b"], proxy.rev));
@@ -244,19 +247,19 @@
 #[test]
 fn a_new_configuration_leaves_requests_under_way_as_they_were_asked() {
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
-    let (done, moved) = (proxy.ask("/get/", Some("k1")), proxy.ask("/get/", Some("k1")));
-    let once = proxy.ask("/put/", Some("k1"));
-    // Without the first route, the others the other way round: places in the list mean nothing.
+    let (done, retried) = (proxy.ask("/get/", Some("k1")), proxy.ask("/get/", Some("k1")));
+    let unsafe_request = proxy.ask("/put/", Some("k1"));
+    // The first route is gone and the others are reversed: positions in the list have no meaning.
     let rest: Vec<&str> = ROUTES[1..].iter().rev().copied().collect();
     proxy.learn(config(2, &rest));
     assert!(proxy.sent().is_none() && proxy.answer().is_none());
     proxy.served(done, 0, 200, false);
     assert_eq!(proxy.status(), Some(200));
-    proxy.broken(moved, 0, Execution::MayHaveRun);
+    proxy.broken(retried, 0, Execution::MayHaveRun);
     assert!(proxy.sent().is_some(), "still safe");
-    proxy.served(moved, 1, 200, false);
+    proxy.served(retried, 1, 200, false);
     assert_eq!(proxy.status(), Some(200));
-    proxy.broken(once, 0, Execution::MayHaveRun);
+    proxy.broken(unsafe_request, 0, Execution::MayHaveRun);
     assert_eq!((proxy.status(), proxy.goes_to()), (Some(502), None), "still unsafe");
     proxy.ask("/get/", Some("k1"));
     assert_eq!(proxy.status(), Some(404));
