--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,5 +1,5 @@
-//! What a proxy does for those that follow it: passes news and readings on at once, says how it stands
-//! itself, and gathers their reports for its own.
+//! A proxy as a relay for its followers: it sends them updates of the state and collects their reports, which go up with
+//! its own.
 
 use cluster::copy::Copy;
 use cluster::follow::Followers;
@@ -12,14 +12,15 @@
 #[derive(Default)]
 pub struct Relay {
     pub followers: Followers,
-    /// All below, and until when each counts as being there.
+    /// All proxies below this one in the tree, and until when each counts as present.
     below: BTreeMap<Ipv4Addr, Micros>,
+    /// Reports from below that have not gone up yet.
     seen: BTreeMap<Ipv4Addr, Seen>,
     usage: BTreeMap<Ipv4Addr, Usage>,
 }
 
 impl Relay {
-    /// A report from below; each part of it is handed on unchanged. False: nobody who follows here.
+    /// Takes a follower's report, each part of which goes up unchanged. False: the link is not a follower's.
     pub fn report_received(
         &mut self,
         link: u64,
@@ -37,26 +38,26 @@
         true
     }
 
+    /// Whether this proxy is below this one in the tree.
     pub fn is_below(&self, now: Micros, ip: Ipv4Addr) -> bool {
         self.below.get(&ip).is_some_and(|until| now < *until)
             || self.followers.iter().any(|(_, f)| f.node.ip == ip)
     }
 
-    /// What came from below since the last time.
+    /// The reports from below since the last call.
     pub fn take_reports(&mut self, now: Micros) -> (Vec<Seen>, Vec<Usage>) {
         self.below.retain(|_, until| now < *until);
         let (seen, usage) = (std::mem::take(&mut self.seen), std::mem::take(&mut self.usage));
         (seen.into_values().collect(), usage.into_values().collect())
     }
 
-    /// Takes a follower in.
     pub fn add_follower(&mut self, link: u64, node: Node, rev: Rev, until: Micros) {
         self.below.insert(node.ip, until);
         self.followers.hello(link, node, rev);
     }
 
-    /// Those to whom something of the copy is new are told it.
-    pub fn send_news(&mut self, now: Micros, copy: &Copy, tell: impl FnMut(u64, Down)) {
-        self.followers.feed(now, copy, tell);
+    /// Sends each follower the updates of the copy that it lacks.
+    pub fn send_news(&mut self, now: Micros, copy: &Copy, send: impl FnMut(u64, Down)) {
+        self.followers.feed(now, copy, send);
     }
 }
