--- a/crates/proxy/src/tree.rs
+++ b/crates/proxy/src/tree.rs
@@ -1,17 +1,17 @@
-//! Who stands where among the proxies of a region: the order that rendezvous hashing gives them, and the tree
-//! in it.
+//! The tree of the proxies of a region: rendezvous hashing puts the proxies in an order, and positions in that order form
+//! the tree.
 
 use cluster::state::Node;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Followers that the order gives each relay.
+/// Followers of each relay in the tree.
 pub const FANOUT: usize = 8;
-/// Relays that news may come through.
+/// The most relays between a proxy and the registry.
 pub const MAX_RELAYS: usize = 4;
 
-/// The live ones of a region, the head first. `me` counts as alive, whatever is told.
+/// The live proxies of a region, the head first. `me` counts as live even if it is in `away`.
 pub fn order(
     nodes: &BTreeMap<Ipv4Addr, Node>,
     region: &str,
@@ -24,12 +24,12 @@
     live
 }
 
-/// The place in the order that this place follows; the head follows none.
-pub fn parent(place: usize) -> Option<usize> {
-    place.checked_sub(1).map(|p| p / FANOUT)
+/// The position that the one at `position` follows; the head, at 0, follows none.
+pub fn parent(position: usize) -> Option<usize> {
+    position.checked_sub(1).map(|p| p / FANOUT)
 }
 
-/// Relays between this place and the registry.
-pub fn depth(place: usize) -> usize {
-    parent(place).map_or(0, |parent| 1 + depth(parent))
+/// The number of relays between this position and the registry.
+pub fn depth(position: usize) -> usize {
+    parent(position).map_or(0, |parent| 1 + depth(parent))
 }
