--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! This proxy among those that watch each other: it tells its watchers that it is there, and notices when one
-//! that it watches no longer does. By datagrams, of which some are lost.
+//! Failure detection between the proxies of a region: this proxy sends heartbeats to those that watch it, and suspects
+//! those that it watches when their heartbeats stop. Heartbeats are datagrams, of which some are lost.
 
 use cluster::Micros;
 use cluster::state::Node;
@@ -8,10 +8,11 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// So many in a row have not come from one that is suspected.
-const MISSED: Micros = 3;
+/// A proxy is suspected after this many missing heartbeats in a row.
+const MISSED_HEARTBEATS: Micros = 3;
 
-struct Heard {
+/// The last heartbeat of a watched proxy.
+struct LastHeartbeat {
     at: Micros,
     life: u64,
     count: u64,
@@ -20,24 +21,25 @@
 pub struct FailureDetector {
     now: Micros,
     node: Node,
-    every_us: Micros,
+    period_us: Micros,
+    /// The last heartbeat that this proxy sent.
     here: Here,
-    round_at: Micros,
-    /// The region's proxies, as the names below were drawn from them.
+    next_at: Micros,
+    /// The region's proxies from which `watchers` and `watched` were computed.
     known: Vec<Ipv4Addr>,
     watchers: Vec<Ipv4Addr>,
-    watched: BTreeMap<Ipv4Addr, Heard>,
+    watched: BTreeMap<Ipv4Addr, LastHeartbeat>,
 }
 
 impl FailureDetector {
-    /// `every_us`: between two rounds.
-    pub fn new(node: Node, every_us: Micros, life: u64, now: Micros) -> FailureDetector {
+    /// `period_us`: between two heartbeats. `life`: drawn at the start of this process.
+    pub fn new(node: Node, period_us: Micros, life: u64, now: Micros) -> FailureDetector {
         FailureDetector {
             now,
             node,
-            every_us,
+            period_us,
             here: Here { life, count: 0 },
-            round_at: now,
+            next_at: now,
             known: Vec::new(),
             watchers: Vec::new(),
             watched: BTreeMap::new(),
@@ -45,12 +47,12 @@
     }
 
     pub fn wake_at(&self) -> Micros {
-        self.round_at
+        self.next_at
     }
 
-    /// The proxies there are, as agreed.
+    /// Takes over the agreed list of proxies.
     pub fn set_nodes(&mut self, now: Micros, nodes: &BTreeMap<Ipv4Addr, Node>) {
-        self.passes(now);
+        self.advance(now);
         let here = || nodes.values().filter(|n| n.region == self.node.region);
         if here().map(|n| n.ip).eq(self.known.iter().copied()) {
             return;
@@ -60,47 +62,49 @@
         let (me, now) = (self.node.ip, self.now);
         let mine = here().filter(|n| n.ip != me && watchers(nodes, n).contains(&me)).map(|n| n.ip);
         let mut before = std::mem::take(&mut self.watched);
-        self.watched =
-            mine.map(|ip| (ip, before.remove(&ip).unwrap_or(Heard { at: now, life: 0, count: 0 }))).collect();
+        self.watched = mine
+            .map(|ip| (ip, before.remove(&ip).unwrap_or(LastHeartbeat { at: now, life: 0, count: 0 })))
+            .collect();
     }
 
-    /// Whoever was not running itself, or not called, knows nothing of others' silence.
-    fn passes(&mut self, now: Micros) {
-        let away = now.saturating_sub(self.now);
+    /// Moves the clock on. While this process was stopped or not called, it could hear nothing, so that time does not
+    /// count against the others.
+    fn advance(&mut self, now: Micros) {
+        let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        if away > 2 * self.every_us {
+        if gap > 2 * self.period_us {
             for heard in self.watched.values_mut() {
-                heard.at += away;
+                heard.at += gap;
             }
         }
     }
 
     pub fn heartbeat_received(&mut self, now: Micros, from: Ipv4Addr, here: Here) {
-        self.passes(now);
+        self.advance(now);
         if let Some(heard) = self.watched.get_mut(&from)
             && (heard.life != here.life || heard.count < here.count)
         {
-            *heard = Heard { at: self.now, life: here.life, count: here.count };
+            *heard = LastHeartbeat { at: self.now, life: here.life, count: here.count };
         }
     }
 
-    /// Who is to be told now that this proxy is there. `soon`: something else goes out now, so this may go
-    /// along.
+    /// The heartbeat to send now, if one is due, and to whom. `soon`: another message is being sent anyway, so the heartbeat
+    /// may go out a little early.
     pub fn next_heartbeat(&mut self, now: Micros, soon: bool) -> Option<(Here, &[Ipv4Addr])> {
-        self.passes(now);
-        let early = if soon { self.every_us / 4 } else { 0 };
-        if self.now + early < self.round_at {
+        self.advance(now);
+        let early = if soon { self.period_us / 4 } else { 0 };
+        if self.now + early < self.next_at {
             return None;
         }
-        self.round_at = self.now + self.every_us;
+        self.next_at = self.now + self.period_us;
         self.here.count += 1;
         Some((self.here, &self.watchers))
     }
 
-    /// Those that have said nothing for too long, and their lives; 0: never heard.
+    /// The watched proxies whose heartbeats have stopped, and the last life that was heard of each; 0: none.
     pub fn suspects(&self) -> Vec<(Ipv4Addr, u64)> {
-        let patience = MISSED * self.every_us + self.every_us / 2;
-        let silent = self.watched.iter().filter(|(_, heard)| self.now > heard.at + patience);
+        let limit_us = MISSED_HEARTBEATS * self.period_us + self.period_us / 2;
+        let silent = self.watched.iter().filter(|(_, heard)| self.now > heard.at + limit_us);
         silent.map(|(ip, heard)| (*ip, heard.life)).collect()
     }
 }
