--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,8 @@
-//! The proxy. [`dispatcher`] decides on requests, around the decisions that it shares with the gateway; [`book`]
-//! turns the agreed state into their settings; [`feed`] keeps the news coming and passes them on; [`failure_detector`]
-//! knows the silent, [`drill`] who meets a rehearsed fault, [`rollout`] what may go to a new version, [`servers`] whose an answer is. No I/O and no clock in any of them; `main.rs` is the shell.
+//! The proxy, which carries clients' requests to servers. [`dispatcher`] handles requests, around the decision module that
+//! the proxy shares with the gateway; [`book`] turns the agreed state into that module's settings; [`feed`] keeps the copy
+//! of the state up to date and passes updates on, by [`relay`] and [`tree`]; [`failure_detector`] notices silent
+//! neighbours; [`drill`] tells which requests get an injected fault, [`rollout`] what may go to a new version, [`servers`]
+//! which attempt an answer belongs to. None of them does I/O or reads a clock; `main.rs` has the sockets.
 
 pub mod book;
 pub mod cramp;
