--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod datagram;
 pub mod link;
-pub mod ring;
+pub mod log_buffer;
 pub mod turn;
 
 use crate::link::{Event, Line};
@@ -59,7 +59,7 @@
     let thread = std::thread::Builder::new().name("work".into()).stack_size(64 * 1024);
     let started = thread.spawn(move || {
         let _ = work.join();
-        ring::write_out(FAULT);
+        log_buffer::write_out(FAULT);
         eprintln!("{FAULT}");
         std::process::exit(1);
     });
@@ -110,14 +110,14 @@
             println!("{name}: settings of {} are good", settings.name);
             return Ok(());
         }
-        ring::start(name, &settings.name, given.get_flag("chatty"))?;
+        log_buffer::start(name, &settings.name, given.get_flag("chatty"))?;
         let signals = signals.map_err(|e| miette!("cannot watch for signals: {e}"))?;
         work(Start { settings, file, signals: Some(signals), life: fastrand::u64(1..) })
     };
     match held() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            ring::write_out(&format!("ends: {why}"));
+            log_buffer::write_out(&format!("ends: {why}"));
             eprintln!("{name}: {}", line(&why));
             ExitCode::FAILURE
         }
