--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -109,7 +109,7 @@
                 };
                 let Err(why) = done else { break };
                 log::error!("{why}");
-                runtime::log_buffer::write_out("the disk refuses a write");
+                runtime::log_buffer::dump("the disk refuses a write");
                 std::thread::sleep(REFUSED);
                 drop(store.take());
                 // It was made long ago: there is nothing to begin with.
@@ -200,7 +200,7 @@
                 self.stood = stands;
                 if let Some(why) = self.chest.unreadable() {
                     log::error!("{why}; start the program of the other stores on this disk");
-                    runtime::log_buffer::write_out("what the others agree on cannot be read");
+                    runtime::log_buffer::dump("what the others agree on cannot be read");
                 }
             }
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -59,7 +59,7 @@
     let thread = std::thread::Builder::new().name("work".into()).stack_size(64 * 1024);
     let started = thread.spawn(move || {
         let _ = work.join();
-        log_buffer::write_out(FAULT);
+        log_buffer::dump(FAULT);
         eprintln!("{FAULT}");
         std::process::exit(1);
     });
@@ -117,7 +117,7 @@
     match held() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            log_buffer::write_out(&format!("ends: {why}"));
+            log_buffer::dump(&format!("ends: {why}"));
             eprintln!("{name}: {}", line(&why));
             ExitCode::FAILURE
         }
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -37,7 +37,7 @@
     let panics = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         panics(info);
-        write_out("panic");
+        dump("panic");
     }));
     Ok(())
 }
@@ -48,7 +48,7 @@
 }
 
 /// Writes the ring to standard error, with what went wrong.
-pub fn write_out(why: &str) {
+pub fn dump(why: &str) {
     let Some(ring) = RING.get() else { return };
     let now = ring.start.elapsed().as_secs() + 1;
     let before = ring.written.load(Ordering::Relaxed);
