--- a/crates/runtime/src/turn.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -27,7 +27,7 @@
 /// Where a machine's messages go.
 pub type Inbox<T> = Arc<Mailbox<T>>;
 
-pub(crate) fn turn<M: Machine>(
+pub(crate) fn spawn<M: Machine>(
     clock: Clock,
     mut alarm: Alarm,
     inbox: Inbox<M::Told>,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,12 +2,12 @@
 //! and the loop that drives a state machine. No decision is made here.
 
 pub mod datagram;
+pub mod event_loop;
 pub mod link;
 pub mod log_buffer;
-pub mod turn;
 
+use crate::event_loop::{Inbox, Machine};
 use crate::link::{Event, Line};
-use crate::turn::{Inbox, Machine};
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
 use net::mailbox::Mailbox;
@@ -45,7 +45,7 @@
 impl<T: Send + 'static> Stage<T> {
     /// Turns the machine until it says on the other end of `ended` that all is over.
     pub fn work(self, machine: impl Machine<Told = T>, ended: &Receiver<()>) -> Result<()> {
-        let work = turn::turn(self.clock, self.alarm, self.inbox, machine);
+        let work = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
         end_with(work)?;
         ended.recv().map_err(|_| miette!(FAULT))
     }
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -1,6 +1,6 @@
 //! A program whose work has ended by a fault ends too. Each case is a process of its own: this test starts itself again.
 
-use runtime::turn::Machine;
+use runtime::event_loop::Machine;
 use runtime::{Start, run};
 use std::process::{Command, ExitCode, Stdio};
 use std::sync::mpsc::channel;
