--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -6,7 +6,7 @@
 use consensus::{Saved, Write};
 use miette::{Result, miette};
 use net::Micros;
-use runtime::event_loop::{Inbox, Machine};
+use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::{Asked, Start};
 use settings::settings::Settings;
@@ -136,7 +136,7 @@
     stood: Standing,
 }
 
-impl Machine for Shell {
+impl StateMachine for Shell {
     type Told = Told;
 
     fn take(&mut self, now: Micros, told: Option<Told>) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -18,7 +18,7 @@
 use proxy::rollout::Exposure;
 use proxy::servers::{self, Note};
 use runtime::datagram::{self, Datagrams};
-use runtime::event_loop::{Inbox, Machine};
+use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{self, Event, Line, SILENCE};
 use runtime::{Asked, Start};
 use std::collections::{BTreeMap, HashMap};
@@ -485,7 +485,7 @@
     }
 }
 
-impl Machine for Shell {
+impl StateMachine for Shell {
     type Told = Told;
 
     fn take(&mut self, now: Micros, told: Option<Told>) {
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -10,7 +10,7 @@
 use net::limits::Held;
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
-use runtime::event_loop::{Inbox, Machine};
+use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::{Asked, Start};
 use std::collections::BTreeMap;
@@ -234,7 +234,7 @@
     }
 }
 
-impl Machine for Shell {
+impl StateMachine for Shell {
     type Told = Told;
 
     fn take(&mut self, now: Micros, told: Option<Told>) {
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -15,7 +15,7 @@
 /// Messages taken before the connections get their turn again.
 const BATCH: usize = 64;
 
-pub trait Machine: Send + 'static {
+pub trait StateMachine: Send + 'static {
     type Told: Send + 'static;
 
     /// One message, or none where only time has passed.
@@ -27,7 +27,7 @@
 /// Where a machine's messages go.
 pub type Inbox<T> = Arc<Mailbox<T>>;
 
-pub(crate) fn spawn<M: Machine>(
+pub(crate) fn spawn<M: StateMachine>(
     clock: Clock,
     mut alarm: Alarm,
     inbox: Inbox<M::Told>,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod link;
 pub mod log_buffer;
 
-use crate::event_loop::{Inbox, Machine};
+use crate::event_loop::{Inbox, StateMachine};
 use crate::link::{Event, Line};
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
@@ -44,7 +44,7 @@
 
 impl<T: Send + 'static> Stage<T> {
     /// Turns the machine until it says on the other end of `ended` that all is over.
-    pub fn work(self, machine: impl Machine<Told = T>, ended: &Receiver<()>) -> Result<()> {
+    pub fn work(self, machine: impl StateMachine<Told = T>, ended: &Receiver<()>) -> Result<()> {
         let work = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
         end_with(work)?;
         ended.recv().map_err(|_| miette!(FAULT))
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -1,6 +1,6 @@
 //! A program whose work has ended by a fault ends too. Each case is a process of its own: this test starts itself again.
 
-use runtime::event_loop::Machine;
+use runtime::event_loop::StateMachine;
 use runtime::{Start, run};
 use std::process::{Command, ExitCode, Stdio};
 use std::sync::mpsc::channel;
@@ -22,7 +22,7 @@
     if std::hint::black_box(true) { deeper(depth + 1) + page[(depth % 512) as usize] } else { page[0] }
 }
 
-impl Machine for Faulty {
+impl StateMachine for Faulty {
     type Told = ();
 
     fn take(&mut self, _now: u64, _told: Option<()>) {
