--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -137,7 +137,7 @@
 }
 
 impl StateMachine for Shell {
-    type Told = Told;
+    type Message = Told;
 
     fn take(&mut self, now: Micros, told: Option<Told>) {
         let input = match told {
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -235,7 +235,7 @@
 }
 
 impl StateMachine for Shell {
-    type Told = Told;
+    type Message = Told;
 
     fn take(&mut self, now: Micros, told: Option<Told>) {
         let input = match told {
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -16,10 +16,10 @@
 const BATCH: usize = 64;
 
 pub trait StateMachine: Send + 'static {
-    type Told: Send + 'static;
+    type Message: Send + 'static;
 
     /// One message, or none where only time has passed.
-    fn take(&mut self, now: Micros, told: Option<Self::Told>);
+    fn take(&mut self, now: Micros, told: Option<Self::Message>);
 
     fn wake_at(&mut self) -> Micros;
 }
@@ -30,7 +30,7 @@
 pub(crate) fn spawn<M: StateMachine>(
     clock: Clock,
     mut alarm: Alarm,
-    inbox: Inbox<M::Told>,
+    inbox: Inbox<M::Message>,
     mut machine: M,
 ) -> JoinHandle<()> {
     let builder = may::coroutine::Builder::new().name("work".into()).stack_size(STACK);
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -44,7 +44,7 @@
 
 impl<T: Send + 'static> Stage<T> {
     /// Turns the machine until it says on the other end of `ended` that all is over.
-    pub fn work(self, machine: impl StateMachine<Told = T>, ended: &Receiver<()>) -> Result<()> {
+    pub fn work(self, machine: impl StateMachine<Message = T>, ended: &Receiver<()>) -> Result<()> {
         let work = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
         end_with(work)?;
         ended.recv().map_err(|_| miette!(FAULT))
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -23,7 +23,7 @@
 }
 
 impl StateMachine for Faulty {
-    type Told = ();
+    type Message = ();
 
     fn take(&mut self, _now: u64, _told: Option<()>) {
         if self.overflows {
