--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -139,7 +139,7 @@
 impl StateMachine for Shell {
     type Message = Told;
 
-    fn take(&mut self, now: Micros, told: Option<Told>) {
+    fn handle(&mut self, now: Micros, told: Option<Told>) {
         let input = match told {
             None => Some(Input::Tick),
             Some(Told::FellowLink(ip, link, event)) => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -488,7 +488,7 @@
 impl StateMachine for Shell {
     type Message = Told;
 
-    fn take(&mut self, now: Micros, told: Option<Told>) {
+    fn handle(&mut self, now: Micros, told: Option<Told>) {
         match told {
             None => {
                 self.front(now, dispatcher::Input::Tick);
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -237,7 +237,7 @@
 impl StateMachine for Shell {
     type Message = Told;
 
-    fn take(&mut self, now: Micros, told: Option<Told>) {
+    fn handle(&mut self, now: Micros, told: Option<Told>) {
         let input = match told {
             None => Some(Input::Tick),
             Some(told) => self.read(now, told),
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -19,7 +19,7 @@
     type Message: Send + 'static;
 
     /// One message, or none where only time has passed.
-    fn take(&mut self, now: Micros, told: Option<Self::Message>);
+    fn handle(&mut self, now: Micros, told: Option<Self::Message>);
 
     fn wake_at(&mut self) -> Micros;
 }
@@ -45,10 +45,10 @@
                 log::warn!("the loop is {} ms late", (now - due) / 1000);
             }
             for told in batch.drain(..) {
-                machine.take(now, Some(told));
+                machine.handle(now, Some(told));
             }
             if machine.wake_at() <= now {
-                machine.take(now, None);
+                machine.handle(now, None);
             }
             due = machine.wake_at().max(now);
             if more {
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -25,7 +25,7 @@
 impl StateMachine for Faulty {
     type Message = ();
 
-    fn take(&mut self, _now: u64, _told: Option<()>) {
+    fn handle(&mut self, _now: u64, _told: Option<()>) {
         if self.overflows {
             std::hint::black_box(deeper(0));
         }
