--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -36,13 +36,13 @@
 const MEMORY_MB: u64 = 128;
 
 /// What a program's machine works on.
-pub struct Stage<T> {
+pub struct EventLoop<T> {
     pub clock: Clock,
     alarm: Alarm,
     pub inbox: Inbox<T>,
 }
 
-impl<T: Send + 'static> Stage<T> {
+impl<T: Send + 'static> EventLoop<T> {
     /// Turns the machine until it says on the other end of `ended` that all is over.
     pub fn work(self, machine: impl StateMachine<Message = T>, ended: &Receiver<()>) -> Result<()> {
         let work = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
@@ -162,12 +162,12 @@
     }
 
     /// Sets up the coroutines, the clock, and where a machine's messages go. Once in a program.
-    pub fn stage<T>(&self) -> Result<Stage<T>> {
+    pub fn stage<T>(&self) -> Result<EventLoop<T>> {
         net::set_up();
         let clock = Clock::start();
         let alarm = Alarm::new(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
         let inbox = Arc::new(Mailbox::new(alarm.bell()));
-        Ok(Stage { clock, alarm, inbox })
+        Ok(EventLoop { clock, alarm, inbox })
     }
 
     /// What listeners and pools share: so many of the descriptors that the settings grant are kept for other things.
