--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -41,7 +41,7 @@
 }
 
 fn work(mut start: Start) -> Result<()> {
-    let stage = start.stage::<Told>()?;
+    let stage = start.event_loop::<Told>()?;
     let inbox = stage.inbox.clone();
     let (me, seeds) = (start.settings.ip, start.seeds());
     let dir = start.settings.data_directory.clone();
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -67,7 +67,7 @@
 }
 
 fn work(mut start: Start) -> Result<()> {
-    let stage = start.stage::<Told>()?;
+    let stage = start.event_loop::<Told>()?;
     let (inbox, room) = (stage.inbox.clone(), start.room(stage.clock, KEPT)?);
     let s = &start.settings;
     let shown = Arc::new(Shown::default());
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -162,7 +162,7 @@
     }
 
     /// Sets up the coroutines, the clock, and where a machine's messages go. Once in a program.
-    pub fn stage<T>(&self) -> Result<EventLoop<T>> {
+    pub fn event_loop<T>(&self) -> Result<EventLoop<T>> {
         net::set_up();
         let clock = Clock::start();
         let alarm = Alarm::new(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -40,7 +40,7 @@
 fn play(case: &str) -> ExitCode {
     let overflows = case == "overflow";
     run("faulty", "a program that fails", move |start: Start| {
-        let stage = start.stage::<()>()?;
+        let stage = start.event_loop::<()>()?;
         // As where the work lies somewhere that is never cleaned up: the end of the channel says nothing.
         let (over, ended) = channel();
         std::mem::forget(over);
