--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -82,7 +82,7 @@
         over,
         stood: Standing::default(),
     };
-    stage.work(shell, &ended)
+    stage.run(shell, &ended)
 }
 
 /// Writes on a thread of its own: a disk may take long. A write that is refused is tried again, on the store opened
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -136,7 +136,7 @@
         grace_us,
         asked_at: None,
     };
-    stage.work(shell, &ended)
+    stage.run(shell, &ended)
 }
 
 /// What the connections see of the proxy.
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -88,7 +88,7 @@
         ends_at: None,
         logged_rollouts: 0,
     };
-    stage.work(shell, &ended)
+    stage.run(shell, &ended)
 }
 
 const TTL_S: f64 = 5.0;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -44,7 +44,7 @@
 
 impl<T: Send + 'static> EventLoop<T> {
     /// Turns the machine until it says on the other end of `ended` that all is over.
-    pub fn work(self, machine: impl StateMachine<Message = T>, ended: &Receiver<()>) -> Result<()> {
+    pub fn run(self, machine: impl StateMachine<Message = T>, ended: &Receiver<()>) -> Result<()> {
         let work = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
         end_with(work)?;
         ended.recv().map_err(|_| miette!(FAULT))
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -44,7 +44,7 @@
         // As where the work lies somewhere that is never cleaned up: the end of the channel says nothing.
         let (over, ended) = channel();
         std::mem::forget(over);
-        stage.work(Faulty { overflows }, &ended)
+        stage.run(Faulty { overflows }, &ended)
     })
 }
 
