--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -8,7 +8,7 @@
 use net::Micros;
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{Event, Line, SILENCE, Tie};
-use runtime::{Asked, Start};
+use runtime::{Asked, Runtime};
 use settings::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -40,7 +40,7 @@
     Some(losses.saturating_mul(2).saturating_add(1))
 }
 
-fn work(mut start: Start) -> Result<()> {
+fn work(mut start: Runtime) -> Result<()> {
     let stage = start.event_loop::<Told>()?;
     let inbox = stage.inbox.clone();
     let (me, seeds) = (start.settings.ip, start.seeds());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -20,7 +20,7 @@
 use runtime::datagram::{self, Datagrams};
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{self, Event, Line, SILENCE};
-use runtime::{Asked, Start};
+use runtime::{Asked, Runtime};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -66,7 +66,7 @@
     runtime::run("curlewfront-proxy", "Carries requests between clients and servers", work)
 }
 
-fn work(mut start: Start) -> Result<()> {
+fn work(mut start: Runtime) -> Result<()> {
     let stage = start.event_loop::<Told>()?;
     let (inbox, room) = (stage.inbox.clone(), start.room(stage.clock, KEPT)?);
     let s = &start.settings;
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -12,7 +12,7 @@
 use registry::calls::{self, Request};
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{Event, Line, SILENCE, Tie};
-use runtime::{Asked, Start};
+use runtime::{Asked, Runtime};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::process::ExitCode;
@@ -44,7 +44,7 @@
     runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", work)
 }
 
-fn work(mut start: Start) -> Result<()> {
+fn work(mut start: Runtime) -> Result<()> {
     let stage = start.event_loop::<Told>()?;
     let (inbox, room) = (stage.inbox.clone(), start.room(stage.clock, KEPT)?);
     let s = &start.settings;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -23,7 +23,7 @@
 use std::sync::mpsc::Receiver;
 
 /// What a program is started with.
-pub struct Start {
+pub struct Runtime {
     pub settings: Settings,
     file: Option<PathBuf>,
     signals: Option<Signals>,
@@ -75,7 +75,7 @@
 }
 
 /// Runs a program: reads its command line and settings, and says on standard error what is wrong with them.
-pub fn run(name: &'static str, about: &'static str, work: impl FnOnce(Start) -> Result<()>) -> ExitCode {
+pub fn run(name: &'static str, about: &'static str, work: impl FnOnce(Runtime) -> Result<()>) -> ExitCode {
     // Before anything else: a signal that comes earlier ends the program, even the one that only says that settings have
     // changed. What comes from here on waits until it is watched for.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]);
@@ -112,7 +112,7 @@
         }
         log_buffer::start(name, &settings.name, given.get_flag("chatty"))?;
         let signals = signals.map_err(|e| miette!("cannot watch for signals: {e}"))?;
-        work(Start { settings, file, signals: Some(signals), life: fastrand::u64(1..) })
+        work(Runtime { settings, file, signals: Some(signals), life: fastrand::u64(1..) })
     };
     match held() {
         Ok(()) => ExitCode::SUCCESS,
@@ -139,7 +139,7 @@
     }
 }
 
-impl Start {
+impl Runtime {
     /// Calls `told` with each signal, on a thread of its own: it reads a file, which must not hold up the work. A file
     /// that is no good changes nothing.
     pub fn watch(&mut self, told: impl Fn(Asked) + Send + 'static) -> Result<()> {
--- a/crates/runtime/tests/work.rs
+++ b/crates/runtime/tests/work.rs
@@ -1,7 +1,7 @@
 //! A program whose work has ended by a fault ends too. Each case is a process of its own: this test starts itself again.
 
 use runtime::event_loop::StateMachine;
-use runtime::{Start, run};
+use runtime::{Runtime, run};
 use std::process::{Command, ExitCode, Stdio};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
@@ -39,7 +39,7 @@
 
 fn play(case: &str) -> ExitCode {
     let overflows = case == "overflow";
-    run("faulty", "a program that fails", move |start: Start| {
+    run("faulty", "a program that fails", move |start: Runtime| {
         let stage = start.event_loop::<()>()?;
         // As where the work lies somewhere that is never cleaned up: the end of the channel says nothing.
         let (over, ended) = channel();
