--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -65,7 +65,7 @@
     let peers_port = start.listen(STORE_PEERS, &inbox, Told::FellowTaken, Told::FellowSays)?.port();
     start.listen(STORE_LOCAL, &inbox, Told::LocalTaken, Told::LocalSays)?;
     let posts = inbox.clone();
-    start.watch(move |asked| posts.post(Told::Asked(asked)))?;
+    start.on_signal(move |asked| posts.post(Told::Asked(asked)))?;
 
     let (over, ended) = channel();
     let (fellows, taken, locals) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -80,7 +80,7 @@
         Door::start(listen, room.clone(), desk).map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
     let posts = inbox.clone();
-    start.watch(move |asked| posts.post(Told::Signal(asked)))?;
+    start.on_signal(move |asked| posts.post(Told::Signal(asked)))?;
 
     let relay = start.listen(PROXY_NEWS, &inbox, Told::FollowerTaken, Told::FollowerSays)?;
     let (posts, listen) = (inbox.clone(), start.internal(PROXY_WATCH)?);
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -70,7 +70,7 @@
     let peers = start.listen(REGISTRY_PEERS, &inbox, Told::PeerTaken, Told::PeerSays)?;
     start.listen(REGISTRY_NEWS, &inbox, Told::ProxyTaken, Told::ProxySays)?;
     let posts = inbox.clone();
-    start.watch(move |asked| posts.post(Told::Asked(asked)))?;
+    start.on_signal(move |asked| posts.post(Told::Asked(asked)))?;
 
     let (over, ended) = channel();
     let shell = Shell {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -142,7 +142,7 @@
 impl Runtime {
     /// Calls `told` with each signal, on a thread of its own: it reads a file, which must not hold up the work. A file
     /// that is no good changes nothing.
-    pub fn watch(&mut self, told: impl Fn(Asked) + Send + 'static) -> Result<()> {
+    pub fn on_signal(&mut self, told: impl Fn(Asked) + Send + 'static) -> Result<()> {
         let Some(mut signals) = self.signals.take() else { return Ok(()) };
         let file = self.file.clone();
         let thread = std::thread::Builder::new().name("signals".into()).stack_size(64 * 1024);
