--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -8,7 +8,7 @@
 use net::Micros;
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{Event, Line, SILENCE, Tie};
-use runtime::{Asked, Runtime};
+use runtime::{Runtime, SignalEvent};
 use settings::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -27,7 +27,7 @@
     LocalTaken(Line),
     LocalSays(u64, Event<ToStore>),
     Written(u64),
-    Asked(Asked),
+    Asked(SignalEvent),
 }
 
 fn main() -> ExitCode {
@@ -187,8 +187,8 @@
             }
             Some(Told::FellowSays(_, Event::Up) | Told::LocalSays(_, Event::Up)) => None,
             Some(Told::Written(number)) => Some(Input::Written(number)),
-            Some(Told::Asked(Asked::Stop)) => Some(Input::Stop),
-            Some(Told::Asked(Asked::Settings(settings))) => {
+            Some(Told::Asked(SignalEvent::Stop)) => Some(Input::Stop),
+            Some(Told::Asked(SignalEvent::Settings(settings))) => {
                 Some(Input::Settings { size: core_size(&settings), seeds: runtime::seeds(&settings) })
             }
         };
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -20,7 +20,7 @@
 use runtime::datagram::{self, Datagrams};
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{self, Event, Line, SILENCE};
-use runtime::{Asked, Runtime};
+use runtime::{Runtime, SignalEvent};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -59,7 +59,7 @@
     FollowerTaken(Line),
     FollowerSays(u64, Event<Up>),
     Here(Ipv4Addr, Here),
-    Signal(Asked),
+    Signal(SignalEvent),
 }
 
 fn main() -> ExitCode {
@@ -526,11 +526,11 @@
             }
             Some(Told::FollowerSays(_, Event::Up)) => {}
             Some(Told::Here(from, here)) => self.watch.heartbeat_received(now, from, here),
-            Some(Told::Signal(Asked::Settings(settings))) => {
+            Some(Told::Signal(SignalEvent::Settings(settings))) => {
                 log::info!("settings are read again");
                 self.feed.set_seeds(runtime::seeds(&settings));
             }
-            Some(Told::Signal(Asked::Stop)) => {
+            Some(Told::Signal(SignalEvent::Stop)) => {
                 log::info!("asked to end, {} requests open", self.front.open_requests());
                 self.asked_at.get_or_insert(now);
                 self.shown.draining.store(true, Ordering::Relaxed);
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -12,7 +12,7 @@
 use registry::calls::{self, Request};
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{Event, Line, SILENCE, Tie};
-use runtime::{Asked, Runtime};
+use runtime::{Runtime, SignalEvent};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
     PeerSays(u64, Event<Gossip>),
     ProxyTaken(Line),
     ProxySays(u64, Event<Up>),
-    Asked(Asked),
+    Asked(SignalEvent),
 }
 
 fn main() -> ExitCode {
@@ -223,13 +223,13 @@
                 Input::ProxyDown(link)
             }
             Told::PeerSays(_, Event::Up) | Told::ProxySays(_, Event::Up) => return None,
-            Told::Asked(Asked::Stop) => {
+            Told::Asked(SignalEvent::Stop) => {
                 log::info!("asked to end");
                 self.draining.store(true, Ordering::Relaxed);
                 self.ends_at.get_or_insert(now + PARTING_US);
                 return None;
             }
-            Told::Asked(Asked::Settings(_)) => return None,
+            Told::Asked(SignalEvent::Settings(_)) => return None,
         })
     }
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -67,7 +67,7 @@
 }
 
 /// What the platform asks of a running program.
-pub enum Asked {
+pub enum SignalEvent {
     /// End in order.
     Stop,
     /// The settings file has changed; this is it as it is now.
@@ -142,17 +142,17 @@
 impl Runtime {
     /// Calls `told` with each signal, on a thread of its own: it reads a file, which must not hold up the work. A file
     /// that is no good changes nothing.
-    pub fn on_signal(&mut self, told: impl Fn(Asked) + Send + 'static) -> Result<()> {
+    pub fn on_signal(&mut self, told: impl Fn(SignalEvent) + Send + 'static) -> Result<()> {
         let Some(mut signals) = self.signals.take() else { return Ok(()) };
         let file = self.file.clone();
         let thread = std::thread::Builder::new().name("signals".into()).stack_size(64 * 1024);
         let started = thread.spawn(move || {
             for signal in signals.forever() {
                 if signal != SIGHUP {
-                    told(Asked::Stop);
+                    told(SignalEvent::Stop);
                 } else {
                     match read(file.as_ref()) {
-                        Ok(settings) => told(Asked::Settings(Box::new(settings))),
+                        Ok(settings) => told(SignalEvent::Settings(Box::new(settings))),
                         Err(why) => log::error!("new settings refused, the old ones stay: {}", line(&why)),
                     }
                 }
