--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -83,7 +83,7 @@
     start.on_signal(move |asked| posts.post(Told::Signal(asked)))?;
 
     let relay = start.listen(PROXY_NEWS, &inbox, Told::FollowerTaken, Told::FollowerSays)?;
-    let (posts, listen) = (inbox.clone(), start.internal(PROXY_WATCH)?);
+    let (posts, listen) = (inbox.clone(), start.internal_addr(PROXY_WATCH)?);
     let datagrams = datagram::open(listen, move |from, here| posts.post(Told::Here(from, here)))
         .map_err(|e| miette!("cannot take datagrams on {listen}: {e}"))?;
 
@@ -119,7 +119,7 @@
         watch: FailureDetector::new(node.clone(), beat_us / 3, start.life, now),
         datagrams,
         feed: Feed::new(node, s.zones.clone(), start.seeds(), beat_us, start.life, now),
-        registry_port: start.internal(REGISTRY_NEWS)?.port(),
+        registry_port: start.internal_addr(REGISTRY_NEWS)?.port(),
         relay_port: relay.port(),
         lines: BTreeMap::new(),
         followers: BTreeMap::new(),
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -75,7 +75,7 @@
     let (over, ended) = channel();
     let shell = Shell {
         board: Board::new(terms, stage.clock.now()),
-        store: Tie::new(start.internal(STORE_LOCAL)?),
+        store: Tie::new(start.internal_addr(STORE_LOCAL)?),
         peers_port: peers.port(),
         peers: BTreeMap::new(),
         taken: BTreeMap::new(),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -192,7 +192,7 @@
         I: DeserializeOwned + 'static,
         T: Send + 'static,
     {
-        let (addr, inbox) = (self.internal(port)?, inbox.clone());
+        let (addr, inbox) = (self.internal_addr(port)?, inbox.clone());
         let listens = link::listen(addr, link::SILENCE, move |line, _| {
             inbox.post(taken(line));
             let inbox = inbox.clone();
@@ -202,8 +202,8 @@
     }
 
     /// The address of one of this machine's internal ports.
-    pub fn internal(&self, port: u16) -> Result<SocketAddr> {
-        internal(&self.settings, self.settings.ip, port)
+    pub fn internal_addr(&self, port: u16) -> Result<SocketAddr> {
+        internal_addr(&self.settings, self.settings.ip, port)
     }
 
     pub fn seeds(&self) -> Vec<Ipv4Addr> {
@@ -212,7 +212,7 @@
 }
 
 /// Internal ports are alike on all machines.
-pub fn internal(settings: &Settings, ip: Ipv4Addr, port: u16) -> Result<SocketAddr> {
+pub fn internal_addr(settings: &Settings, ip: Ipv4Addr, port: u16) -> Result<SocketAddr> {
     let ports = &settings.internal_ports;
     let number = ports.start().checked_add(port).filter(|n| ports.contains(n));
     let number = number.ok_or_else(|| {
