--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -7,7 +7,7 @@
 use miette::{Result, miette};
 use net::Micros;
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{Event, Line, SILENCE, Tie};
+use runtime::link::{Event, LinkHandle, SILENCE, Tie};
 use runtime::{Runtime, SignalEvent};
 use settings::settings::Settings;
 use std::collections::BTreeMap;
@@ -22,9 +22,9 @@
 
 enum Told {
     FellowLink(Ipv4Addr, u64, Event<Peer>),
-    FellowTaken(Line),
+    FellowTaken(LinkHandle),
     FellowSays(u64, Event<Peer>),
-    LocalTaken(Line),
+    LocalTaken(LinkHandle),
     LocalSays(u64, Event<ToStore>),
     Written(u64),
     Asked(SignalEvent),
@@ -127,8 +127,8 @@
     peers_port: u16,
     fellows: BTreeMap<Ipv4Addr, Tie>,
     /// Links that fellows opened: who is at the other end, once told.
-    taken: BTreeMap<u64, (Line, Option<Ipv4Addr>)>,
-    locals: BTreeMap<u64, Line>,
+    taken: BTreeMap<u64, (LinkHandle, Option<Ipv4Addr>)>,
+    locals: BTreeMap<u64, LinkHandle>,
     writes: Sender<Write>,
     inbox: Inbox<Told>,
     out: Vec<Output>,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -19,7 +19,7 @@
 use proxy::servers::{self, Note};
 use runtime::datagram::{self, Datagrams};
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{self, Event, Line, SILENCE};
+use runtime::link::{self, Event, LinkHandle, SILENCE};
 use runtime::{Runtime, SignalEvent};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -56,7 +56,7 @@
     Withdrawn(u64),
     Ended(u64, u32, AttemptResult),
     Link(u64, Event<Down>),
-    FollowerTaken(Line),
+    FollowerTaken(LinkHandle),
     FollowerSays(u64, Event<Up>),
     Here(Ipv4Addr, Here),
     Signal(SignalEvent),
@@ -292,8 +292,8 @@
     registry_port: u16,
     relay_port: u16,
     /// Links to those who are followed, by the feed's numbers; links of followers by their own.
-    lines: BTreeMap<u64, Line>,
-    followers: BTreeMap<u64, Line>,
+    lines: BTreeMap<u64, LinkHandle>,
+    followers: BTreeMap<u64, LinkHandle>,
     wire: Arc<Servers>,
     peers: HashMap<u64, Peer<Servers>>,
     replies: HashMap<u64, Reply>,
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -11,7 +11,7 @@
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{Event, Line, SILENCE, Tie};
+use runtime::link::{Event, LinkHandle, SILENCE, Tie};
 use runtime::{Runtime, SignalEvent};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -33,9 +33,9 @@
     CallGone(u64),
     StoreLink(u64, Event<FromStore>),
     PeerLink(Ipv4Addr, u64, Event<()>),
-    PeerTaken(Line),
+    PeerTaken(LinkHandle),
     PeerSays(u64, Event<Gossip>),
-    ProxyTaken(Line),
+    ProxyTaken(LinkHandle),
     ProxySays(u64, Event<Up>),
     Asked(SignalEvent),
 }
@@ -152,8 +152,8 @@
     store: Tie,
     peers_port: u16,
     peers: BTreeMap<Ipv4Addr, Tie>,
-    taken: BTreeMap<u64, Line>,
-    proxies: BTreeMap<u64, Line>,
+    taken: BTreeMap<u64, LinkHandle>,
+    proxies: BTreeMap<u64, LinkHandle>,
     replies: BTreeMap<u64, Reply>,
     inbox: Inbox<Told>,
     out: Vec<Output>,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod log_buffer;
 
 use crate::event_loop::{Inbox, StateMachine};
-use crate::link::{Event, Line};
+use crate::link::{Event, LinkHandle};
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
 use net::mailbox::Mailbox;
@@ -185,7 +185,7 @@
         &self,
         port: u16,
         inbox: &Inbox<T>,
-        taken: fn(Line) -> T,
+        taken: fn(LinkHandle) -> T,
         says: fn(u64, Event<I>) -> T,
     ) -> Result<SocketAddr>
     where
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -44,12 +44,12 @@
 }
 
 /// An owner's end of a link.
-pub struct Line {
+pub struct LinkHandle {
     pub number: u64,
     inbox: Arc<Mailbox<Told>>,
 }
 
-impl Line {
+impl LinkHandle {
     pub fn send<O: Serialize>(&self, message: &O) {
         match postcard::to_stdvec(message) {
             Ok(bytes) => self.inbox.post(Told::Send(bytes)),
@@ -58,7 +58,7 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for LinkHandle {
     fn drop(&mut self) {
         self.inbox.post(Told::End);
     }
@@ -71,7 +71,7 @@
     addr: SocketAddr,
     silence: Duration,
     told: impl Fn(u64, Event<I>) + Send + 'static,
-) -> io::Result<Line> {
+) -> io::Result<LinkHandle> {
     let io = socket::connect(addr, Some(silence))?;
     Ok(start(io, true, told))
 }
@@ -80,7 +80,7 @@
 pub fn listen<I, T>(
     addr: SocketAddr,
     silence: Duration,
-    taken: impl Fn(Line, SocketAddr) -> T + Send + 'static,
+    taken: impl Fn(LinkHandle, SocketAddr) -> T + Send + 'static,
 ) -> io::Result<()>
 where
     I: DeserializeOwned,
@@ -116,7 +116,7 @@
     stream: TcpStream,
     from: SocketAddr,
     silence: Duration,
-    taken: &impl Fn(Line, SocketAddr) -> T,
+    taken: &impl Fn(LinkHandle, SocketAddr) -> T,
 ) -> io::Result<()>
 where
     I: DeserializeOwned,
@@ -130,7 +130,7 @@
     // The owner's end must exist before the link says anything: both begin with the same mailbox.
     let inbox = Arc::new(Mailbox::new(io.bell()));
     let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
-    let told = taken(Line { number, inbox: inbox.clone() }, from);
+    let told = taken(LinkHandle { number, inbox: inbox.clone() }, from);
     go(io, number, inbox, false, told);
     Ok(())
 }
@@ -139,11 +139,11 @@
     io: Watched<TcpStream>,
     dialing: bool,
     told: impl Fn(u64, Event<I>) + Send + 'static,
-) -> Line {
+) -> LinkHandle {
     let inbox = Arc::new(Mailbox::new(io.bell()));
     let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
     go(io, number, inbox.clone(), dialing, told);
-    Line { number, inbox }
+    LinkHandle { number, inbox }
 }
 
 fn go<I: DeserializeOwned>(
@@ -325,7 +325,7 @@
 /// A link that is opened again whenever it breaks.
 pub struct Tie {
     addr: SocketAddr,
-    line: Option<Line>,
+    line: Option<LinkHandle>,
     attempts: Attempts,
 }
 
--- a/crates/runtime/tests/link.rs
+++ b/crates/runtime/tests/link.rs
@@ -17,7 +17,7 @@
 }
 
 /// A link to a stand-in, which has heard the opening.
-fn linked() -> (TcpStream, [u8; 4], Receiver<Told>, link::Line) {
+fn linked() -> (TcpStream, [u8; 4], Receiver<Told>, link::LinkHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (tell, told) = channel();
     let line = link::dial(listener.local_addr().expect("bound"), HANG, move |_, event: Event<u32>| {
