--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -7,7 +7,7 @@
 use miette::{Result, miette};
 use net::Micros;
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{Event, LinkHandle, SILENCE, Tie};
+use runtime::link::{Event, LinkHandle, ReconnectingLink, SILENCE};
 use runtime::{Runtime, SignalEvent};
 use settings::settings::Settings;
 use std::collections::BTreeMap;
@@ -125,7 +125,7 @@
     chest: Chest,
     me: Ipv4Addr,
     peers_port: u16,
-    fellows: BTreeMap<Ipv4Addr, Tie>,
+    fellows: BTreeMap<Ipv4Addr, ReconnectingLink>,
     /// Links that fellows opened: who is at the other end, once told.
     taken: BTreeMap<u64, (LinkHandle, Option<Ipv4Addr>)>,
     locals: BTreeMap<u64, LinkHandle>,
@@ -208,7 +208,8 @@
             match output {
                 Output::Peer(ip, peer) => {
                     let port = self.peers_port;
-                    let tie = self.fellows.entry(ip).or_insert_with(|| Tie::new((ip, port).into()));
+                    let tie =
+                        self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
                     tie.send(&peer);
                 }
                 Output::Local(link, message) => {
@@ -222,7 +223,7 @@
         }
         let port = self.peers_port;
         for ip in self.chest.fellows() {
-            self.fellows.entry(ip).or_insert_with(|| Tie::new((ip, port).into()));
+            self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
         }
         // Also to those that are no fellows yet: a leader brings a newcomer up to date before it is one.
         for (ip, tie) in &mut self.fellows {
@@ -235,7 +236,7 @@
     }
 
     fn wake_at(&mut self) -> Micros {
-        let ties = self.fellows.values().map(Tie::wake_at).min().unwrap_or(Micros::MAX);
+        let ties = self.fellows.values().map(ReconnectingLink::wake_at).min().unwrap_or(Micros::MAX);
         self.chest.wake_at().min(ties)
     }
 }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -11,7 +11,7 @@
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{Event, LinkHandle, SILENCE, Tie};
+use runtime::link::{Event, LinkHandle, ReconnectingLink, SILENCE};
 use runtime::{Runtime, SignalEvent};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -75,7 +75,7 @@
     let (over, ended) = channel();
     let shell = Shell {
         board: Board::new(terms, stage.clock.now()),
-        store: Tie::new(start.internal_addr(STORE_LOCAL)?),
+        store: ReconnectingLink::new(start.internal_addr(STORE_LOCAL)?),
         peers_port: peers.port(),
         peers: BTreeMap::new(),
         taken: BTreeMap::new(),
@@ -149,9 +149,9 @@
 
 struct Shell {
     board: Board,
-    store: Tie,
+    store: ReconnectingLink,
     peers_port: u16,
-    peers: BTreeMap<Ipv4Addr, Tie>,
+    peers: BTreeMap<Ipv4Addr, ReconnectingLink>,
     taken: BTreeMap<u64, LinkHandle>,
     proxies: BTreeMap<u64, LinkHandle>,
     replies: BTreeMap<u64, Reply>,
@@ -258,7 +258,8 @@
                 Output::Store(message) => self.store.send(&message),
                 Output::Peer(ip, gossip) => {
                     let port = self.peers_port;
-                    let tie = self.peers.entry(ip).or_insert_with(|| Tie::new((ip, port).into()));
+                    let tie =
+                        self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
                     tie.send(&gossip);
                     let inbox = self.inbox.clone();
                     tie.tend(now, SILENCE, move |link, event| inbox.post(Told::PeerLink(ip, link, event)));
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -323,15 +323,15 @@
 }
 
 /// A link that is opened again whenever it breaks.
-pub struct Tie {
+pub struct ReconnectingLink {
     addr: SocketAddr,
     line: Option<LinkHandle>,
     attempts: Attempts,
 }
 
-impl Tie {
-    pub fn new(addr: SocketAddr) -> Tie {
-        Tie { addr, line: None, attempts: Attempts::default() }
+impl ReconnectingLink {
+    pub fn new(addr: SocketAddr) -> ReconnectingLink {
+        ReconnectingLink { addr, line: None, attempts: Attempts::default() }
     }
 
     /// Opens it, if it is not open and the time has come.
