--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -7,7 +7,7 @@
 use miette::{Result, miette};
 use net::Micros;
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{Event, LinkHandle, ReconnectingLink, SILENCE};
+use runtime::link::{ACK_TIMEOUT, Event, LinkHandle, ReconnectingLink};
 use runtime::{Runtime, SignalEvent};
 use settings::settings::Settings;
 use std::collections::BTreeMap;
@@ -228,7 +228,7 @@
         // Also to those that are no fellows yet: a leader brings a newcomer up to date before it is one.
         for (ip, tie) in &mut self.fellows {
             let (ip, inbox) = (*ip, self.inbox.clone());
-            tie.tend(now, SILENCE, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
+            tie.tend(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
         }
         if self.chest.ends_at().is_some_and(|at| now >= at) {
             let _ = self.over.send(());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -19,7 +19,7 @@
 use proxy::servers::{self, Note};
 use runtime::datagram::{self, Datagrams};
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{self, Event, LinkHandle, SILENCE};
+use runtime::link::{self, ACK_TIMEOUT, Event, LinkHandle};
 use runtime::{Runtime, SignalEvent};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -315,7 +315,7 @@
             answer_us: ANSWER_US,
             idle_us: SERVER_IDLE_US,
             most: usize::MAX,
-            silence: Some(SILENCE),
+            silence: Some(ACK_TIMEOUT),
             bounds: ANSWER,
         }
     }
@@ -443,7 +443,7 @@
         let (what, port) = if relay { ("relay", self.relay_port) } else { ("registry", self.registry_port) };
         log::info!("link {link}: asks the {what} on {ip} from revision {}", self.front.copy.rev());
         let (inbox, addr) = (self.inbox.clone(), SocketAddr::from((ip, port)));
-        match link::dial(addr, SILENCE, move |_, event| inbox.post(Told::Link(link, event))) {
+        match link::dial(addr, ACK_TIMEOUT, move |_, event| inbox.post(Told::Link(link, event))) {
             Ok(line) => {
                 self.lines.insert(link, line);
             }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -11,7 +11,7 @@
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
 use runtime::event_loop::{Inbox, StateMachine};
-use runtime::link::{Event, LinkHandle, ReconnectingLink, SILENCE};
+use runtime::link::{ACK_TIMEOUT, Event, LinkHandle, ReconnectingLink};
 use runtime::{Runtime, SignalEvent};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -262,7 +262,9 @@
                         self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
                     tie.send(&gossip);
                     let inbox = self.inbox.clone();
-                    tie.tend(now, SILENCE, move |link, event| inbox.post(Told::PeerLink(ip, link, event)));
+                    tie.tend(now, ACK_TIMEOUT, move |link, event| {
+                        inbox.post(Told::PeerLink(ip, link, event))
+                    });
                 }
                 Output::Proxy(link, down) => {
                     if let Some(line) = self.proxies.get(&link) {
@@ -272,7 +274,7 @@
             }
         }
         let inbox = self.inbox.clone();
-        self.store.tend(now, SILENCE, move |link, event| inbox.post(Told::StoreLink(link, event)));
+        self.store.tend(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::StoreLink(link, event)));
         if self.ends_at.is_some_and(|at| now >= at) {
             let _ = self.over.send(());
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -193,7 +193,7 @@
         T: Send + 'static,
     {
         let (addr, inbox) = (self.internal_addr(port)?, inbox.clone());
-        let listens = link::listen(addr, link::SILENCE, move |line, _| {
+        let listens = link::listen(addr, link::ACK_TIMEOUT, move |line, _| {
             inbox.post(taken(line));
             let inbox = inbox.clone();
             move |link, event| inbox.post(says(link, event))
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -28,7 +28,7 @@
 const BACKLOG: i32 = 256;
 
 /// What was sent and not acknowledged for so long ends a link, by the usual measure.
-pub const SILENCE: Duration = Duration::from_millis(1000);
+pub const ACK_TIMEOUT: Duration = Duration::from_millis(1000);
 
 enum Told {
     Send(Vec<u8>),
