--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -159,7 +159,7 @@
                 self.taken.insert(line.number, (line, None));
                 None
             }
-            Some(Told::FellowSays(link, Event::Got(Peer::Iam { ip, .. }))) => {
+            Some(Told::FellowSays(link, Event::Received(Peer::Iam { ip, .. }))) => {
                 if let Some(taken) = self.taken.get_mut(&link) {
                     taken.1 = Some(ip);
                 }
@@ -168,7 +168,7 @@
                 }
                 None
             }
-            Some(Told::FellowSays(link, Event::Got(peer))) => {
+            Some(Told::FellowSays(link, Event::Received(peer))) => {
                 let from = self.taken.get(&link).and_then(|t| t.1);
                 from.map(|ip| Input::Peer(ip, peer))
             }
@@ -180,7 +180,7 @@
                 self.locals.insert(line.number, line);
                 None
             }
-            Some(Told::LocalSays(link, Event::Got(message))) => Some(Input::Local(link, message)),
+            Some(Told::LocalSays(link, Event::Received(message))) => Some(Input::Local(link, message)),
             Some(Told::LocalSays(link, Event::Down)) => {
                 self.locals.remove(&link);
                 Some(Input::LocalDown(link))
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -509,7 +509,7 @@
             Some(Told::Link(link, event)) => {
                 let input = match event {
                     Event::Up => feed::Input::Connected(link),
-                    Event::Got(down) => feed::Input::Received(link, down),
+                    Event::Received(down) => feed::Input::Received(link, down),
                     Event::Down => feed::Input::Disconnected(link),
                 };
                 self.feed(now, input);
@@ -517,7 +517,7 @@
             Some(Told::FollowerTaken(line)) => {
                 self.followers.insert(line.number, line);
             }
-            Some(Told::FollowerSays(link, Event::Got(up))) => {
+            Some(Told::FollowerSays(link, Event::Received(up))) => {
                 self.feed(now, feed::Input::FromFollower(link, up))
             }
             Some(Told::FollowerSays(link, Event::Down)) => {
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -192,7 +192,7 @@
             }
             Told::StoreLink(link, Event::Up) => self.store.rose(link).then_some(Input::StoreUp)?,
             Told::StoreLink(link, Event::Down) => self.store.fell(now, link).then_some(Input::StoreDown)?,
-            Told::StoreLink(link, Event::Got(message)) => {
+            Told::StoreLink(link, Event::Received(message)) => {
                 self.store.holds(link).then_some(Input::Store(message))?
             }
             Told::PeerLink(ip, link, event) => {
@@ -200,7 +200,7 @@
                 match event {
                     Event::Up => tie.rose(link),
                     Event::Down => tie.fell(now, link),
-                    Event::Got(()) => false,
+                    Event::Received(()) => false,
                 };
                 return None;
             }
@@ -208,7 +208,7 @@
                 self.taken.insert(line.number, line);
                 return None;
             }
-            Told::PeerSays(_, Event::Got(gossip)) => Input::Peer(gossip),
+            Told::PeerSays(_, Event::Received(gossip)) => Input::Peer(gossip),
             Told::PeerSays(link, Event::Down) => {
                 self.taken.remove(&link);
                 return None;
@@ -217,7 +217,7 @@
                 self.proxies.insert(line.number, line);
                 return None;
             }
-            Told::ProxySays(link, Event::Got(up)) => Input::Proxy(link, up),
+            Told::ProxySays(link, Event::Received(up)) => Input::Proxy(link, up),
             Told::ProxySays(link, Event::Down) => {
                 self.proxies.remove(&link);
                 Input::ProxyDown(link)
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -38,7 +38,7 @@
 /// What becomes of a link, as its owner is told it.
 pub enum Event<I> {
     Up,
-    Got(I),
+    Received(I),
     /// It has ended; nothing more comes of it.
     Down,
 }
@@ -253,7 +253,7 @@
             let Some(frame) = bytes.get(4..4 + length) else { return Ok(()) };
             let message = postcard::from_bytes(frame).map_err(|e| format!("a frame that is none: {e}"))?;
             self.incoming.consume(4 + length);
-            told(Event::Got(message));
+            told(Event::Received(message));
         }
     }
 }
--- a/crates/runtime/tests/link.rs
+++ b/crates/runtime/tests/link.rs
@@ -23,7 +23,7 @@
     let line = link::dial(listener.local_addr().expect("bound"), HANG, move |_, event: Event<u32>| {
         let _ = tell.send(match event {
             Event::Up => Told::Up,
-            Event::Got(n) => Told::Got(n),
+            Event::Received(n) => Told::Got(n),
             Event::Down => Told::Down,
         });
     });
