--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -19,8 +19,8 @@
 /// What each side says first: who it is, and the form of all messages behind it. It is counted up with each change of a
 /// message that an older program would misread.
 const MAGIC: [u8; 3] = *b"cfl";
-pub const FORM: u8 = 2;
-const OPENING: [u8; 4] = [MAGIC[0], MAGIC[1], MAGIC[2], FORM];
+pub const PROTOCOL_VERSION: u8 = 2;
+const OPENING: [u8; 4] = [MAGIC[0], MAGIC[1], MAGIC[2], PROTOCOL_VERSION];
 
 /// The largest frame; and what may wait to be taken by the other side before the link is ended.
 const MOST_FRAME: usize = 8 << 20;
@@ -265,10 +265,10 @@
     match said {
         OPENING => Ok(()),
         [a, b, c, form] if [a, b, c] == MAGIC => Err(format!(
-            "the other side {OTHER_FORM} {form}, this program form {FORM}: run one program everywhere"
+            "the other side {OTHER_FORM} {form}, this program form {PROTOCOL_VERSION}: run one program everywhere"
         )),
         _ => Err(format!(
-            "the other side {OTHER_FORM} 1 or is no program of curlewfront, this program form {FORM}"
+            "the other side {OTHER_FORM} 1 or is no program of curlewfront, this program form {PROTOCOL_VERSION}"
         )),
     }
 }
--- a/crates/runtime/tests/link.rs
+++ b/crates/runtime/tests/link.rs
@@ -1,6 +1,6 @@
 //! Links of programs that speak in another form: refused by name on both sides, before anything is read.
 
-use runtime::link::{self, Event, FORM, opens};
+use runtime::link::{self, Event, PROTOCOL_VERSION, opens};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
@@ -41,7 +41,7 @@
 #[test]
 fn frames_count_only_behind_an_opening_of_this_form() {
     let (mut stream, opening, told, line) = linked();
-    assert_eq!((&opening[..3], opening[3]), (&b"cfl"[..], FORM));
+    assert_eq!((&opening[..3], opening[3]), (&b"cfl"[..], PROTOCOL_VERSION));
     // In pieces, as the net may bring it.
     stream.write_all(&opening[..2]).expect("taken");
     stream.write_all(&[&opening[2..], &FIVE, &FIVE].concat()).expect("taken");
@@ -51,7 +51,7 @@
     assert_eq!(told.recv_timeout(HANG), Ok(Told::Down));
 
     // A program before forms were told begins with a frame; a later one with its own form.
-    let later = [opening[0], opening[1], opening[2], FORM + 1];
+    let later = [opening[0], opening[1], opening[2], PROTOCOL_VERSION + 1];
     for said in [&FIVE[..], &[&later[..], &FIVE].concat()] {
         let (mut stream, _, told, _line) = linked();
         stream.write_all(said).expect("taken");
@@ -61,9 +61,12 @@
 
 #[test]
 fn what_is_wrong_is_named() {
-    assert_eq!(opens([b'c', b'f', b'l', FORM]), Ok(()));
+    assert_eq!(opens([b'c', b'f', b'l', PROTOCOL_VERSION]), Ok(()));
     let later = opens([b'c', b'f', b'l', 77]).expect_err("refused");
-    assert!(later.contains("form 77") && later.contains(&format!("this program form {FORM}")), "{later}");
+    assert!(
+        later.contains("form 77") && later.contains(&format!("this program form {PROTOCOL_VERSION}")),
+        "{later}"
+    );
     let earlier = opens([0, 0, 0, 1]).expect_err("refused");
     assert!(earlier.contains("form 1 or is no program of curlewfront"), "{earlier}");
 }
