--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -241,7 +241,7 @@
             let bytes = self.incoming.bytes();
             let Some(length) = bytes.first_chunk::<4>() else { return Ok(()) };
             if !self.opened {
-                opens(*length)?;
+                check_opening(*length)?;
                 self.opened = true;
                 self.incoming.consume(4);
                 continue;
@@ -261,7 +261,7 @@
 const OTHER_FORM: &str = "speaks form";
 
 /// Whether the other side speaks as this one does.
-pub fn opens(said: [u8; 4]) -> Result<(), String> {
+pub fn check_opening(said: [u8; 4]) -> Result<(), String> {
     match said {
         OPENING => Ok(()),
         [a, b, c, form] if [a, b, c] == MAGIC => Err(format!(
--- a/crates/runtime/tests/link.rs
+++ b/crates/runtime/tests/link.rs
@@ -1,6 +1,6 @@
 //! Links of programs that speak in another form: refused by name on both sides, before anything is read.
 
-use runtime::link::{self, Event, PROTOCOL_VERSION, opens};
+use runtime::link::{self, Event, PROTOCOL_VERSION, check_opening};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
@@ -61,12 +61,12 @@
 
 #[test]
 fn what_is_wrong_is_named() {
-    assert_eq!(opens([b'c', b'f', b'l', PROTOCOL_VERSION]), Ok(()));
-    let later = opens([b'c', b'f', b'l', 77]).expect_err("refused");
+    assert_eq!(check_opening([b'c', b'f', b'l', PROTOCOL_VERSION]), Ok(()));
+    let later = check_opening([b'c', b'f', b'l', 77]).expect_err("refused");
     assert!(
         later.contains("form 77") && later.contains(&format!("this program form {PROTOCOL_VERSION}")),
         "{later}"
     );
-    let earlier = opens([0, 0, 0, 1]).expect_err("refused");
+    let earlier = check_opening([0, 0, 0, 1]).expect_err("refused");
     assert!(earlier.contains("form 1 or is no program of curlewfront"), "{earlier}");
 }
