--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -278,13 +278,13 @@
 
 /// When a link is to be opened, and whether it is up.
 #[derive(Default)]
-pub struct Attempts {
+pub struct ReconnectState {
     open: bool,
     up: bool,
     again_at: Micros,
 }
 
-impl Attempts {
+impl ReconnectState {
     /// Whether it is to be opened now.
     pub fn due(&mut self, now: Micros) -> bool {
         let due = !self.open && now >= self.again_at;
@@ -326,12 +326,12 @@
 pub struct ReconnectingLink {
     addr: SocketAddr,
     line: Option<LinkHandle>,
-    attempts: Attempts,
+    attempts: ReconnectState,
 }
 
 impl ReconnectingLink {
     pub fn new(addr: SocketAddr) -> ReconnectingLink {
-        ReconnectingLink { addr, line: None, attempts: Attempts::default() }
+        ReconnectingLink { addr, line: None, attempts: ReconnectState::default() }
     }
 
     /// Opens it, if it is not open and the time has come.
--- a/crates/runtime/tests/attempts.rs
+++ b/crates/runtime/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! When a link to another process is opened.
 
-use runtime::link::Attempts;
+use runtime::link::ReconnectState;
 
 const SECOND: u64 = 1_000_000;
 
@@ -8,7 +8,7 @@
 /// by now.
 #[test]
 fn who_has_linked_to_here_is_linked_to_at_once_though_an_attempt_hangs() {
-    let mut attempts = Attempts::default();
+    let mut attempts = ReconnectState::default();
     assert!(attempts.due(SECOND));
     attempts.opened();
     assert!(!attempts.due(2 * SECOND), "it hangs");
