--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -146,7 +146,7 @@
                 let iam = Peer::Iam { ip: self.me, disk: self.chest.disk() };
                 if let Some(tie) = self.fellows.get_mut(&ip) {
                     match event {
-                        Event::Up if tie.rose(link) => tie.send(&iam),
+                        Event::Up if tie.on_up(link) => tie.send(&iam),
                         Event::Down => {
                             tie.fell(now, link);
                         }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -190,7 +190,7 @@
                 self.replies.remove(&id);
                 Input::CallGone(id)
             }
-            Told::StoreLink(link, Event::Up) => self.store.rose(link).then_some(Input::StoreUp)?,
+            Told::StoreLink(link, Event::Up) => self.store.on_up(link).then_some(Input::StoreUp)?,
             Told::StoreLink(link, Event::Down) => self.store.fell(now, link).then_some(Input::StoreDown)?,
             Told::StoreLink(link, Event::Received(message)) => {
                 self.store.holds(link).then_some(Input::Store(message))?
@@ -198,7 +198,7 @@
             Told::PeerLink(ip, link, event) => {
                 let tie = self.peers.get_mut(&ip)?;
                 match event {
-                    Event::Up => tie.rose(link),
+                    Event::Up => tie.on_up(link),
                     Event::Down => tie.fell(now, link),
                     Event::Received(()) => false,
                 };
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -298,7 +298,7 @@
         self.open = true;
     }
 
-    pub fn rose(&mut self) {
+    pub fn on_up(&mut self) {
         self.up = true;
     }
 
@@ -358,10 +358,10 @@
     }
 
     /// The link of this number is up: whether it is still the one that is wanted.
-    pub fn rose(&mut self, link: u64) -> bool {
+    pub fn on_up(&mut self, link: u64) -> bool {
         let mine = self.is(link);
         if mine {
-            self.attempts.rose();
+            self.attempts.on_up();
         }
         mine
     }
