--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -148,7 +148,7 @@
                     match event {
                         Event::Up if tie.on_up(link) => tie.send(&iam),
                         Event::Down => {
-                            tie.fell(now, link);
+                            tie.on_down(now, link);
                         }
                         _ => {}
                     }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -191,7 +191,9 @@
                 Input::CallGone(id)
             }
             Told::StoreLink(link, Event::Up) => self.store.on_up(link).then_some(Input::StoreUp)?,
-            Told::StoreLink(link, Event::Down) => self.store.fell(now, link).then_some(Input::StoreDown)?,
+            Told::StoreLink(link, Event::Down) => {
+                self.store.on_down(now, link).then_some(Input::StoreDown)?
+            }
             Told::StoreLink(link, Event::Received(message)) => {
                 self.store.holds(link).then_some(Input::Store(message))?
             }
@@ -199,7 +201,7 @@
                 let tie = self.peers.get_mut(&ip)?;
                 match event {
                     Event::Up => tie.on_up(link),
-                    Event::Down => tie.fell(now, link),
+                    Event::Down => tie.on_down(now, link),
                     Event::Received(()) => false,
                 };
                 return None;
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -302,7 +302,7 @@
         self.up = true;
     }
 
-    pub fn fell(&mut self, now: Micros) {
+    pub fn on_down(&mut self, now: Micros) {
         (self.open, self.up, self.again_at) = (false, false, now + AGAIN_US);
     }
 
@@ -367,11 +367,11 @@
     }
 
     /// The link of this number has ended: whether it was the one in use.
-    pub fn fell(&mut self, now: Micros, link: u64) -> bool {
+    pub fn on_down(&mut self, now: Micros, link: u64) -> bool {
         let mine = self.is(link);
         if mine {
             self.line = None;
-            self.attempts.fell(now);
+            self.attempts.on_down(now);
         }
         mine
     }
--- a/crates/runtime/tests/attempts.rs
+++ b/crates/runtime/tests/attempts.rs
@@ -17,6 +17,6 @@
     attempts.opened();
     attempts.on_up();
     assert!(!attempts.called(3 * SECOND) && !attempts.due(3 * SECOND), "what is up stays up");
-    attempts.fell(3 * SECOND);
+    attempts.on_down(3 * SECOND);
     assert!(!attempts.due(3 * SECOND) && attempts.due(attempts.wake_at()), "what broke waits a little");
 }
