--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -164,7 +164,7 @@
                     taken.1 = Some(ip);
                 }
                 if let Some(tie) = self.fellows.get_mut(&ip) {
-                    tie.called(now);
+                    tie.on_peer_connected(now);
                 }
                 None
             }
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -308,7 +308,7 @@
 
     /// The other side has linked to here, so it is there: whether what was sent before may have gone to a machine
     /// that was dark, and be waited for in vain.
-    pub fn called(&mut self, now: Micros) -> bool {
+    pub fn on_peer_connected(&mut self, now: Micros) -> bool {
         let vain = !self.up;
         if vain {
             (self.open, self.again_at) = (false, now);
@@ -377,8 +377,8 @@
     }
 
     /// The other side has linked to here.
-    pub fn called(&mut self, now: Micros) {
-        if self.attempts.called(now) {
+    pub fn on_peer_connected(&mut self, now: Micros) {
+        if self.attempts.on_peer_connected(now) {
             self.line = None;
         }
     }
--- a/crates/runtime/tests/attempts.rs
+++ b/crates/runtime/tests/attempts.rs
@@ -12,11 +12,11 @@
     assert!(attempts.due(SECOND));
     attempts.opened();
     assert!(!attempts.due(2 * SECOND), "it hangs");
-    assert!(attempts.called(2 * SECOND));
+    assert!(attempts.on_peer_connected(2 * SECOND));
     assert!(attempts.wake_at() <= 2 * SECOND && attempts.due(2 * SECOND), "once more at once");
     attempts.opened();
     attempts.on_up();
-    assert!(!attempts.called(3 * SECOND) && !attempts.due(3 * SECOND), "what is up stays up");
+    assert!(!attempts.on_peer_connected(3 * SECOND) && !attempts.due(3 * SECOND), "what is up stays up");
     attempts.on_down(3 * SECOND);
     assert!(!attempts.due(3 * SECOND) && attempts.due(attempts.wake_at()), "what broke waits a little");
 }
