--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -294,7 +294,7 @@
         due
     }
 
-    pub fn opened(&mut self) {
+    pub fn on_dialed(&mut self) {
         self.open = true;
     }
 
@@ -347,7 +347,7 @@
         match dial(self.addr, silence, told) {
             Ok(line) => {
                 self.line = Some(line);
-                self.attempts.opened();
+                self.attempts.on_dialed();
             }
             Err(e) => log::info!("cannot link to {}: {e}", self.addr),
         }
--- a/crates/runtime/tests/attempts.rs
+++ b/crates/runtime/tests/attempts.rs
@@ -10,11 +10,11 @@
 fn who_has_linked_to_here_is_linked_to_at_once_though_an_attempt_hangs() {
     let mut attempts = ReconnectState::default();
     assert!(attempts.due(SECOND));
-    attempts.opened();
+    attempts.on_dialed();
     assert!(!attempts.due(2 * SECOND), "it hangs");
     assert!(attempts.on_peer_connected(2 * SECOND));
     assert!(attempts.wake_at() <= 2 * SECOND && attempts.due(2 * SECOND), "once more at once");
-    attempts.opened();
+    attempts.on_dialed();
     attempts.on_up();
     assert!(!attempts.on_peer_connected(3 * SECOND) && !attempts.due(3 * SECOND), "what is up stays up");
     attempts.on_down(3 * SECOND);
