--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -228,7 +228,7 @@
         // Also to those that are no fellows yet: a leader brings a newcomer up to date before it is one.
         for (ip, tie) in &mut self.fellows {
             let (ip, inbox) = (*ip, self.inbox.clone());
-            tie.tend(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
+            tie.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
         }
         if self.chest.ends_at().is_some_and(|at| now >= at) {
             let _ = self.over.send(());
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -264,7 +264,7 @@
                         self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
                     tie.send(&gossip);
                     let inbox = self.inbox.clone();
-                    tie.tend(now, ACK_TIMEOUT, move |link, event| {
+                    tie.maintain(now, ACK_TIMEOUT, move |link, event| {
                         inbox.post(Told::PeerLink(ip, link, event))
                     });
                 }
@@ -276,7 +276,7 @@
             }
         }
         let inbox = self.inbox.clone();
-        self.store.tend(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::StoreLink(link, event)));
+        self.store.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::StoreLink(link, event)));
         if self.ends_at.is_some_and(|at| now >= at) {
             let _ = self.over.send(());
         }
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -335,7 +335,7 @@
     }
 
     /// Opens it, if it is not open and the time has come.
-    pub fn tend<I: DeserializeOwned>(
+    pub fn maintain<I: DeserializeOwned>(
         &mut self,
         now: Micros,
         silence: Duration,
