--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -195,7 +195,7 @@
                 self.store.on_down(now, link).then_some(Input::StoreDown)?
             }
             Told::StoreLink(link, Event::Received(message)) => {
-                self.store.holds(link).then_some(Input::Store(message))?
+                self.store.is_up(link).then_some(Input::Store(message))?
             }
             Told::PeerLink(ip, link, event) => {
                 let tie = self.peers.get_mut(&ip)?;
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -384,7 +384,7 @@
     }
 
     /// What comes by this link counts.
-    pub fn holds(&self, link: u64) -> bool {
+    pub fn is_up(&self, link: u64) -> bool {
         self.attempts.up && self.is(link)
     }
 
