--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! The shell of the proxy: listeners, connections to servers and the link to the news, around `proxy::dispatcher` and
-//! `proxy::feed`.
+//! The proxy's I/O: listeners, connections to servers, links to the parent and to followers, around the state machines
+//! `proxy::dispatcher`, `proxy::feed` and `proxy::failure_detector`.
 
 use cluster::Micros;
 use cluster::state::Node;
@@ -28,73 +28,79 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Sender, channel};
 
-/// For a server to take a connection.
-const DIAL_US: Micros = 600_000;
-/// For an answer that has begun to bring its next piece.
-const ANSWER_US: Micros = 2_000_000;
-/// An idle connection to a server is kept so long where the server names no time.
+/// How long a connection to a server may take to come up.
+const SERVER_CONNECT_TIMEOUT_US: Micros = 600_000;
+/// How long an answer that has begun may take to bring its next piece.
+const ANSWER_STALL_TIMEOUT_US: Micros = 2_000_000;
+/// How long an idle connection to a server is kept if the server names no time.
 const SERVER_IDLE_US: Micros = 8_000_000;
-/// The largest answer of a server that is carried.
-const ANSWER: Bounds = Bounds { head: 16 * 1024, body: 32 << 20 };
-/// Requests of one client's connection that are carried at once.
-const ABREAST: usize = 16;
-/// Until a configuration says otherwise.
-const LIMITS: (usize, usize, u64, u64) = (16 * 1024, 1 << 20, 3_000_000, 15_000_000);
-/// Descriptors for files, and other than connections.
-const KEPT: u64 = 232;
-/// New connections keep coming for a while after a signal to end; what has come by the end of it is still taken.
-const STILL_COMING_US: Micros = 1_500_000;
-const SHUT_US: Micros = 50_000;
-/// What is left of the platform's patience when what still runs is given up.
-const SPARE_US: Micros = 500_000;
-const GRACE_S: f64 = 5.0;
-/// The budget of further tries where the settings name none.
-const RETRY: (f64, f64) = (0.2, 50.0);
-
-enum Told {
-    Asked(ClientRequest, Reply),
-    Withdrawn(u64),
-    Ended(u64, u32, AttemptResult),
-    Link(u64, Event<Down>),
-    FollowerTaken(LinkHandle),
-    FollowerSays(u64, Event<Up>),
-    Here(Ipv4Addr, Here),
+/// The largest head and body of a server's answer, in bytes.
+const ANSWER_BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 32 << 20 };
+/// The most requests of one client's connection that are in flight at once.
+const MAX_PIPELINED: usize = 16;
+/// The limits of clients' requests until there is a configuration: bytes of the head and of the body, microseconds to wait
+/// for the header and on an idle connection.
+const DEFAULT_LIMITS: (usize, usize, u64, u64) = (16 * 1024, 1 << 20, 3_000_000, 15_000_000);
+/// Descriptors reserved for files and everything else that is not a connection.
+const RESERVED_DESCRIPTORS: u64 = 232;
+/// After a signal to stop, new connections are accepted for this long, as clients still connect by what they were told
+/// before.
+const KEEP_ACCEPTING_US: Micros = 1_500_000;
+/// How long the proxy waits after closing the listener for connections that had arrived before.
+const LISTENER_CLOSE_US: Micros = 50_000;
+/// What is left of the grace period when requests that are still in flight are abandoned.
+const GRACE_RESERVE_US: Micros = 500_000;
+/// The grace period where the settings name none, in seconds.
+const DEFAULT_GRACE_S: f64 = 5.0;
+/// The retry budget where the settings name none: a part of the requests, and so many more.
+const DEFAULT_RETRY: (f64, f64) = (0.2, 50.0);
+
+/// What the main loop is told.
+enum Message {
+    Request(ClientRequest, Reply),
+    ClientGone(u64),
+    AttemptEnded(u64, u32, AttemptResult),
+    /// On the link to a parent.
+    Parent(u64, Event<Down>),
+    FollowerConnected(LinkHandle),
+    Follower(u64, Event<Up>),
+    Heartbeat(Ipv4Addr, Here),
     Signal(SignalEvent),
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-proxy", "Carries requests between clients and servers", work)
+    runtime::run("curlewfront-proxy", "Carries requests between clients and servers", run_proxy)
 }
 
-fn work(mut start: Runtime) -> Result<()> {
-    let stage = start.event_loop::<Told>()?;
-    let (inbox, room) = (stage.inbox.clone(), start.room(stage.clock, KEPT)?);
-    let s = &start.settings;
-    let shown = Arc::new(Shown::default());
-    let desk = Arc::new(Requests { inbox: inbox.clone(), shown: shown.clone() });
+fn run_proxy(mut runtime: Runtime) -> Result<()> {
+    let event_loop = runtime.event_loop::<Message>()?;
+    let (inbox, room) = (event_loop.inbox.clone(), runtime.room(event_loop.clock, RESERVED_DESCRIPTORS)?);
+    let s = &runtime.settings;
+    let status = Arc::new(Status::default());
+    let desk = Arc::new(ClientDesk { inbox: inbox.clone(), status: status.clone() });
     let listen = s.front_plain()?;
     let door = Door::start(listen, room.clone(), desk);
     let door = door.map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     if let Ok(listen) = s.readiness() {
-        let desk = Arc::new(Readiness { shown: shown.clone() });
+        let desk = Arc::new(ReadinessDesk { status: status.clone() });
         Door::start(listen, room.clone(), desk).map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
-    let posts = inbox.clone();
-    start.on_signal(move |asked| posts.post(Told::Signal(asked)))?;
+    let messages = inbox.clone();
+    runtime.on_signal(move |signal| messages.post(Message::Signal(signal)))?;
 
-    let relay = start.listen(PROXY_NEWS, &inbox, Told::FollowerTaken, Told::FollowerSays)?;
-    let (posts, listen) = (inbox.clone(), start.internal_addr(PROXY_WATCH)?);
-    let datagrams = datagram::open(listen, move |from, here| posts.post(Told::Here(from, here)))
-        .map_err(|e| miette!("cannot take datagrams on {listen}: {e}"))?;
+    let relay = runtime.listen(PROXY_NEWS, &inbox, Message::FollowerConnected, Message::Follower)?;
+    let (messages, listen) = (inbox.clone(), runtime.internal_addr(PROXY_WATCH)?);
+    let datagrams = datagram::open(listen, move |from, here| messages.post(Message::Heartbeat(from, here)))
+        .map_err(|e| miette!("cannot receive datagrams on {listen}: {e}"))?;
 
-    let s = &start.settings;
+    let s = &runtime.settings;
     let b = &s.bounds;
     let leeway = Leeway {
         excess: b.quota_excess.unwrap_or(0.0),
         margin: b.quota_margin.unwrap_or(0.0),
         period_s: b.quota_period_s.unwrap_or(0.0),
-        retry_ratio: b.retry_ratio.unwrap_or(RETRY.0),
-        retry_slack: b.retry_slack.unwrap_or(RETRY.1),
+        retry_ratio: b.retry_ratio.unwrap_or(DEFAULT_RETRY.0),
+        retry_slack: b.retry_slack.unwrap_or(DEFAULT_RETRY.1),
     };
     let (zone, region, zones) = (s.zone.clone(), s.region.clone(), s.zones.clone());
     let (usual, ms) = (Times::default(), |ms: u64| ms * 1000);
@@ -111,52 +117,52 @@
         region: s.region.clone(),
         front: s.front_plain()?,
     };
-    let (beat_us, now) = (s.beat_period_ms * 1000, stage.clock.now());
-    let (over, ended) = channel();
-    let grace_us = (s.bounds.grace_period_s.unwrap_or(GRACE_S) * 1e6) as Micros;
+    let (beat_us, now) = (s.beat_period_ms * 1000, event_loop.clock.now());
+    let (finished, finished_receiver) = channel();
+    let grace_us = (s.bounds.grace_period_s.unwrap_or(DEFAULT_GRACE_S) * 1e6) as Micros;
     let shell = Shell {
-        front: Dispatcher::new(place, beat_us, start.life, now),
-        watch: FailureDetector::new(node.clone(), beat_us / 3, start.life, now),
+        dispatcher: Dispatcher::new(place, beat_us, runtime.life, now),
+        failure_detector: FailureDetector::new(node.clone(), beat_us / 3, runtime.life, now),
         datagrams,
-        feed: Feed::new(node, s.zones.clone(), start.seeds(), beat_us, start.life, now),
-        registry_port: start.internal_addr(REGISTRY_NEWS)?.port(),
+        feed: Feed::new(node, s.zones.clone(), runtime.seeds(), beat_us, runtime.life, now),
+        registry_port: runtime.internal_addr(REGISTRY_NEWS)?.port(),
         relay_port: relay.port(),
-        lines: BTreeMap::new(),
+        parents: BTreeMap::new(),
         followers: BTreeMap::new(),
-        wire: Arc::new(Servers::new(tell(inbox.clone()))),
+        servers: Arc::new(Servers::new(report_to(inbox.clone()))),
         peers: HashMap::new(),
         replies: HashMap::new(),
         room,
-        shown,
+        status,
         inbox,
-        out: Vec::new(),
-        news: Vec::new(),
+        dispatcher_outputs: Vec::new(),
+        feed_outputs: Vec::new(),
         door,
-        over,
+        finished,
         grace_us,
-        asked_at: None,
+        stop_requested_at: None,
     };
-    stage.run(shell, &ended)
+    event_loop.run(shell, &finished_receiver)
 }
 
-/// What the connections see of the proxy.
-struct Shown {
+/// The status and limits that the listeners' connections read.
+struct Status {
     ready: AtomicBool,
     draining: AtomicBool,
-    head: AtomicUsize,
-    body: AtomicUsize,
+    max_head_bytes: AtomicUsize,
+    max_body_bytes: AtomicUsize,
     header_wait_us: AtomicU64,
     idle_us: AtomicU64,
 }
 
-impl Default for Shown {
-    fn default() -> Shown {
-        let (head, body, wait, idle) = LIMITS;
-        Shown {
+impl Default for Status {
+    fn default() -> Status {
+        let (head, body, wait, idle) = DEFAULT_LIMITS;
+        Status {
             ready: AtomicBool::new(false),
             draining: AtomicBool::new(false),
-            head: AtomicUsize::new(head),
-            body: AtomicUsize::new(body),
+            max_head_bytes: AtomicUsize::new(head),
+            max_body_bytes: AtomicUsize::new(body),
             header_wait_us: AtomicU64::new(wait),
             idle_us: AtomicU64::new(idle),
         }
@@ -167,46 +173,46 @@
     Answer::text(bad.status, format!("{}\n", bad.what))
 }
 
-/// The desk that clients come to.
-struct Requests {
-    inbox: Inbox<Told>,
-    shown: Arc<Shown>,
+/// Takes requests of clients.
+struct ClientDesk {
+    inbox: Inbox<Message>,
+    status: Arc<Status>,
 }
 
-/// Headers of a client that no server sees.
-const HELD_BACK: [&str; 4] = ["X-Time-Left", "Authorization", "X-Tenant-Name", "X-Expected-Instance"];
+/// Headers of a client that are not forwarded to servers.
+const NOT_FORWARDED: [&str; 4] = ["X-Time-Left", "Authorization", "X-Tenant-Name", "X-Expected-Instance"];
 
-impl Desk for Requests {
+impl Desk for ClientDesk {
     type Ask = ClientRequest;
 
     fn bounds(&self) -> Bounds {
         let get = |n: &AtomicUsize| n.load(Ordering::Relaxed);
-        Bounds { head: get(&self.shown.head), body: get(&self.shown.body) }
+        Bounds { head: get(&self.status.max_head_bytes), body: get(&self.status.max_body_bytes) }
     }
 
     fn patience(&self) -> Patience {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        let (wait, idle) = (get(&self.shown.header_wait_us), get(&self.shown.idle_us));
+        let (wait, idle) = (get(&self.status.header_wait_us), get(&self.status.idle_us));
         Patience { first_us: None, read_us: wait, write_us: idle, once_idle_us: idle, idle_us: idle }
     }
 
     fn head(&self, head: &http::Request) -> Result<Heard<ClientRequest>, Bad> {
         let text =
             |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim);
-        let name = text("X-Attempt-Id").filter(|id| !id.is_empty());
-        let name = name.ok_or(Bad { status: 400, what: "no X-Attempt-Id" })?;
+        let attempt_id = text("X-Attempt-Id").filter(|id| !id.is_empty());
+        let attempt_id = attempt_id.ok_or(Bad { status: 400, what: "no X-Attempt-Id" })?;
         let left = text("X-Time-Left").map(|t| t.parse::<u64>());
         let left_us = left.transpose().map_err(|_| Bad { status: 400, what: "malformed X-Time-Left" })?;
         let key = text("Authorization").and_then(|v| v.split_once(' '));
         let key = key.filter(|(kind, _)| kind.eq_ignore_ascii_case("Token"));
         let mut lines = Vec::with_capacity(head.len);
-        http::pass_on(head.headers, &HELD_BACK, &mut lines);
+        http::pass_on(head.headers, &NOT_FORWARDED, &mut lines);
         Ok(Heard::Take(ClientRequest {
             id: 0,
             method: head.method.to_string(),
             target: head.target.to_string(),
             host: text("Host").unwrap_or("").to_string(),
-            attempt_id: name.as_bytes().into(),
+            attempt_id: attempt_id.as_bytes().into(),
             left_us: left_us.map(|ms| ms.saturating_mul(1000)),
             key: key.map(|(_, key)| key.trim().to_string()),
             head: lines,
@@ -214,20 +220,20 @@
         }))
     }
 
-    fn asked(&self, id: u64, ask: ClientRequest, body: Held, reply: Reply) {
-        self.inbox.post(Told::Asked(ClientRequest { id, body, ..ask }, reply));
+    fn asked(&self, id: u64, request: ClientRequest, body: Held, reply: Reply) {
+        self.inbox.post(Message::Request(ClientRequest { id, body, ..request }, reply));
     }
 
     fn abreast(&self) -> usize {
-        ABREAST
+        MAX_PIPELINED
     }
 
     fn withdrawn(&self, id: u64) {
-        self.inbox.post(Told::Withdrawn(id));
+        self.inbox.post(Message::ClientGone(id));
     }
 
     fn draining(&self) -> bool {
-        self.shown.draining.load(Ordering::Relaxed)
+        self.status.draining.load(Ordering::Relaxed)
     }
 
     fn refusal(&self, bad: &Bad) -> Answer {
@@ -235,26 +241,26 @@
     }
 }
 
-/// The desk that the platform asks whether this proxy is ready.
-struct Readiness {
-    shown: Arc<Shown>,
+/// Answers the platform's readiness probe.
+struct ReadinessDesk {
+    status: Arc<Status>,
 }
 
-impl Desk for Readiness {
+impl Desk for ReadinessDesk {
     type Ask = ();
 
     fn bounds(&self) -> Bounds {
-        Bounds { head: LIMITS.0, body: 4096 }
+        Bounds { head: DEFAULT_LIMITS.0, body: 4096 }
     }
 
     fn patience(&self) -> Patience {
-        let (read_us, idle_us) = (LIMITS.2, LIMITS.3);
+        let (read_us, idle_us) = (DEFAULT_LIMITS.2, DEFAULT_LIMITS.3);
         Patience { first_us: None, read_us, write_us: read_us, once_idle_us: idle_us, idle_us }
     }
 
     fn head(&self, head: &http::Request) -> Result<Heard<()>, Bad> {
         Ok(Heard::Say(match settings::api::Call::of(head.method, head.target) {
-            Some((settings::api::Call::Ready, _)) if self.shown.ready.load(Ordering::Relaxed) => {
+            Some((settings::api::Call::Ready, _)) if self.status.ready.load(Ordering::Relaxed) => {
                 Answer::text(200, "ready\n")
             }
             Some((settings::api::Call::Ready, _)) => Answer::text(503, "not ready\n"),
@@ -277,52 +283,56 @@
     }
 }
 
-/// What is spoken with servers; how attempts end comes to the shell.
+/// The protocol with servers; results of attempts are sent to the main loop.
 type Servers = servers::Servers<Box<dyn Fn(u64, u32, AttemptResult) + Send + Sync>>;
 
-fn tell(inbox: Inbox<Told>) -> Box<dyn Fn(u64, u32, AttemptResult) + Send + Sync> {
-    Box::new(move |id, attempt, end| inbox.post(Told::Ended(id, attempt, end)))
+fn report_to(inbox: Inbox<Message>) -> Box<dyn Fn(u64, u32, AttemptResult) + Send + Sync> {
+    Box::new(move |id, attempt, end| inbox.post(Message::AttemptEnded(id, attempt, end)))
 }
 
+/// Drives the state machines and carries out their outputs.
 struct Shell {
-    front: Dispatcher,
+    dispatcher: Dispatcher,
     feed: Feed,
-    watch: FailureDetector,
+    failure_detector: FailureDetector,
     datagrams: Datagrams,
     registry_port: u16,
     relay_port: u16,
-    /// Links to those who are followed, by the feed's numbers; links of followers by their own.
-    lines: BTreeMap<u64, LinkHandle>,
+    /// Links to parents, by the feed's numbers.
+    parents: BTreeMap<u64, LinkHandle>,
+    /// Links of followers, by the links' own numbers.
     followers: BTreeMap<u64, LinkHandle>,
-    wire: Arc<Servers>,
+    servers: Arc<Servers>,
     peers: HashMap<u64, Peer<Servers>>,
     replies: HashMap<u64, Reply>,
     room: Arc<Room>,
-    shown: Arc<Shown>,
-    inbox: Inbox<Told>,
-    out: Vec<dispatcher::Output>,
-    news: Vec<feed::Output>,
-    door: Arc<Door<Requests>>,
-    over: Sender<()>,
+    status: Arc<Status>,
+    inbox: Inbox<Message>,
+    dispatcher_outputs: Vec<dispatcher::Output>,
+    feed_outputs: Vec<feed::Output>,
+    door: Arc<Door<ClientDesk>>,
+    /// Told once the proxy may exit.
+    finished: Sender<()>,
     grace_us: Micros,
-    asked_at: Option<Micros>,
+    /// When a signal to stop arrived.
+    stop_requested_at: Option<Micros>,
 }
 
 impl Shell {
-    fn pool(&self) -> pool::Settings {
+    fn pool_settings(&self) -> pool::Settings {
         pool::Settings {
-            dial_us: DIAL_US,
-            answer_us: ANSWER_US,
+            dial_us: SERVER_CONNECT_TIMEOUT_US,
+            answer_us: ANSWER_STALL_TIMEOUT_US,
             idle_us: SERVER_IDLE_US,
             most: usize::MAX,
             silence: Some(ACK_TIMEOUT),
-            bounds: ANSWER,
+            bounds: ANSWER_BOUNDS,
         }
     }
 
-    fn front(&mut self, now: Micros, input: dispatcher::Input) {
-        self.front.handle(now, input, &mut self.out);
-        for output in std::mem::take(&mut self.out) {
+    fn run_dispatcher(&mut self, now: Micros, input: dispatcher::Input) {
+        self.dispatcher.handle(now, input, &mut self.dispatcher_outputs);
+        for output in std::mem::take(&mut self.dispatcher_outputs) {
             match output {
                 dispatcher::Output::Send(job) => {
                     let dispatcher::Job { id, attempt, server, attempt_id, instance, passage, again, until } =
@@ -334,7 +344,7 @@
                         .is_some_and(|p| p.send(Job { id, attempt, passage, again, until, note }));
                     if !sent {
                         let end = AttemptResult::Broken { execution: Execution::NeverRan };
-                        self.inbox.post(Told::Ended(id, attempt, end));
+                        self.inbox.post(Message::AttemptEnded(id, attempt, end));
                     }
                 }
                 dispatcher::Output::CancelAttempt { id, attempt, server, timed_out_sent_at } => {
@@ -346,21 +356,24 @@
                 dispatcher::Output::Cut(id, answer) => self.reply(id, |a| a.cut = true, answer),
                 dispatcher::Output::Slow(id, answer, us) => self.reply(id, |a| a.pace_us = us, answer),
                 dispatcher::Output::Close(id) => {
-                    let nothing = dispatcher::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
-                    self.reply(id, |a| a.cut = true, nothing);
+                    let empty = dispatcher::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
+                    self.reply(id, |a| a.cut = true, empty);
                 }
                 dispatcher::Output::DrillFault { attempt_id, met, .. } => {
                     let (epoch, fault) = (met.epoch, met.fault.name());
-                    log::info!("drill {epoch}: {} meets {fault}", String::from_utf8_lossy(&attempt_id));
+                    log::info!(
+                        "drill {epoch}: fault {fault} for attempt {}",
+                        String::from_utf8_lossy(&attempt_id)
+                    );
                 }
                 dispatcher::Output::Server { server, peer, up } => {
-                    let settings = self.pool();
-                    let (room, wire) = (&self.room, &self.wire);
-                    let known = self
+                    let settings = self.pool_settings();
+                    let (room, servers) = (&self.room, &self.servers);
+                    let server = self
                         .peers
                         .entry(server)
-                        .or_insert_with(|| Peer::start(peer.addr, room.clone(), wire.clone(), settings));
-                    known.listed(peer.addr, up);
+                        .or_insert_with(|| Peer::start(peer.addr, room.clone(), servers.clone(), settings));
+                    server.listed(peer.addr, up);
                 }
                 dispatcher::Output::ServerRemoved { server } => {
                     if let Some(peer) = self.peers.remove(&server) {
@@ -371,34 +384,34 @@
         }
     }
 
-    fn reply(&mut self, id: u64, spoil: impl FnOnce(&mut Answer), answer: dispatcher::Answer) {
+    fn reply(&mut self, id: u64, adjust: impl FnOnce(&mut Answer), answer: dispatcher::Answer) {
         if let Some(reply) = self.replies.remove(&id) {
             let dispatcher::Answer { status, headers, body } = answer;
             let mut answer = Answer::new(status, headers, body);
-            spoil(&mut answer);
+            adjust(&mut answer);
             reply.send(answer);
         }
     }
 
-    fn feed(&mut self, now: Micros, input: feed::Input) {
+    fn run_feed(&mut self, now: Micros, input: feed::Input) {
         if self.feed.report_due(now) {
-            self.feed.set_usage(self.front.tenant_usage(now));
+            self.feed.set_usage(self.dispatcher.tenant_usage(now));
         }
-        self.feed.handle(now, input, &self.front.copy, &mut self.news);
-        self.front.set_fresh_at(now, self.feed.fresh_at());
-        for output in std::mem::take(&mut self.news) {
+        self.feed.handle(now, input, &self.dispatcher.copy, &mut self.feed_outputs);
+        self.dispatcher.set_fresh_at(now, self.feed.fresh_at());
+        for output in std::mem::take(&mut self.feed_outputs) {
             match output {
-                feed::Output::Connect { link, ip, relay } => self.link(link, ip, relay),
+                feed::Output::Connect { link, ip, relay } => self.open_link(link, ip, relay),
                 feed::Output::Disconnect(link) => {
-                    if self.lines.remove(&link).is_some() {
-                        log::info!("leaves whom it follows by link {link}");
+                    if self.parents.remove(&link).is_some() {
+                        log::info!("link {link}: left this parent");
                     }
                 }
                 feed::Output::SendUp(link, up) => {
-                    if let Some(line) = self.lines.get(&link) {
+                    if let Some(line) = self.parents.get(&link) {
                         line.send(&up);
                     }
-                    self.watch(now, true);
+                    self.send_heartbeat(now, true);
                 }
                 feed::Output::SendDown(link, down) => {
                     if let Some(line) = self.followers.get(&link) {
@@ -409,62 +422,69 @@
                     self.followers.remove(&link);
                 }
                 feed::Output::Meter(readings, made_at) => {
-                    self.front(now, dispatcher::Input::Meter(readings, made_at));
+                    self.run_dispatcher(now, dispatcher::Input::Meter(readings, made_at));
                 }
                 feed::Output::Leases(leases, made_at) => {
-                    self.front(now, dispatcher::Input::Leases(leases, made_at));
+                    self.run_dispatcher(now, dispatcher::Input::Leases(leases, made_at));
                 }
                 feed::Output::News(news) => {
-                    let version = self.front.copy.state.version();
-                    self.front(now, dispatcher::Input::News(news));
-                    let state = &self.front.copy.state;
+                    let version = self.dispatcher.copy.state.version();
+                    self.run_dispatcher(now, dispatcher::Input::News(news));
+                    let state = &self.dispatcher.copy.state;
                     if state.version() != version {
-                        log::info!("version {} is in force, revision {}", state.version(), state.rev);
+                        log::info!(
+                            "configuration version {} in force, revision {}",
+                            state.version(),
+                            state.rev
+                        );
                     }
-                    self.feed(now, feed::Input::CopyChanged);
-                    self.watch.set_nodes(now, &self.front.copy.state.nodes);
-                    self.show();
+                    self.run_feed(now, feed::Input::CopyChanged);
+                    self.failure_detector.set_nodes(now, &self.dispatcher.copy.state.nodes);
+                    self.update_status();
                 }
             }
         }
     }
 
-    /// Tells the watchers that this proxy is there, if it is time.
-    fn watch(&mut self, now: Micros, soon: bool) {
-        if let Some((here, watchers)) = self.watch.next_heartbeat(now, soon) {
+    /// Sends a heartbeat to the watchers if one is due, and tells the feed whom this proxy suspects.
+    fn send_heartbeat(&mut self, now: Micros, soon: bool) {
+        if let Some((here, watchers)) = self.failure_detector.next_heartbeat(now, soon) {
             for ip in watchers {
                 self.datagrams.send(*ip, &here);
             }
-            self.feed.set_suspects(self.watch.suspects());
+            self.feed.set_suspects(self.failure_detector.suspects());
         }
     }
 
-    fn link(&mut self, link: u64, ip: Ipv4Addr, relay: bool) {
+    fn open_link(&mut self, link: u64, ip: Ipv4Addr, relay: bool) {
         let (what, port) = if relay { ("relay", self.relay_port) } else { ("registry", self.registry_port) };
-        log::info!("link {link}: asks the {what} on {ip} from revision {}", self.front.copy.rev());
+        log::info!(
+            "link {link}: connecting to the {what} on {ip}, from revision {}",
+            self.dispatcher.copy.rev()
+        );
         let (inbox, addr) = (self.inbox.clone(), SocketAddr::from((ip, port)));
-        match link::dial(addr, ACK_TIMEOUT, move |_, event| inbox.post(Told::Link(link, event))) {
+        match link::dial(addr, ACK_TIMEOUT, move |_, event| inbox.post(Message::Parent(link, event))) {
             Ok(line) => {
-                self.lines.insert(link, line);
+                self.parents.insert(link, line);
             }
             Err(e) => {
-                log::info!("cannot link to {addr}: {e}");
-                self.inbox.post(Told::Link(link, Event::Down));
+                log::info!("cannot connect to {addr}: {e}");
+                self.inbox.post(Message::Parent(link, Event::Down));
             }
         }
     }
 
-    /// What has changed for the connections.
-    fn show(&mut self) {
-        if let Some(limits) = self.front.limits() {
+    /// Updates what the connections read, and the readiness that the feed reports.
+    fn update_status(&mut self) {
+        if let Some(limits) = self.dispatcher.limits() {
             let size = |n: u64| usize::try_from(n).unwrap_or(usize::MAX);
-            self.shown.head.store(size(limits.max_header_bytes), Ordering::Relaxed);
-            self.shown.body.store(size(limits.max_body_bytes), Ordering::Relaxed);
-            self.shown.header_wait_us.store(limits.header_wait_ms * 1000, Ordering::Relaxed);
-            self.shown.idle_us.store(limits.idle_limit_ms * 1000, Ordering::Relaxed);
+            self.status.max_head_bytes.store(size(limits.max_header_bytes), Ordering::Relaxed);
+            self.status.max_body_bytes.store(size(limits.max_body_bytes), Ordering::Relaxed);
+            self.status.header_wait_us.store(limits.header_wait_ms * 1000, Ordering::Relaxed);
+            self.status.idle_us.store(limits.idle_limit_ms * 1000, Ordering::Relaxed);
         }
-        let ready = self.front.ready() && self.feed.has_been_fresh() && self.asked_at.is_none();
-        if self.shown.ready.swap(ready, Ordering::Relaxed) != ready {
+        let ready = self.dispatcher.ready() && self.feed.has_been_fresh() && self.stop_requested_at.is_none();
+        if self.status.ready.swap(ready, Ordering::Relaxed) != ready {
             log::info!("{}", if ready { "ready" } else { "not ready" });
         }
         if self.feed.ready != ready {
@@ -473,92 +493,98 @@
         }
     }
 
-    /// Whether all is over after a signal to end. New connections are taken for a while, as clients still come by what
-    /// they were told before; then the listener is shut, and each open connection ends with its last answer.
-    fn over(&self, now: Micros) -> bool {
-        let Some(asked_at) = self.asked_at else { return false };
-        if now >= asked_at + STILL_COMING_US {
+    /// Whether the proxy may exit after a signal to stop. New connections are accepted for a while, as clients still connect
+    /// by what they were told before; then the listener is closed, and each open connection ends with its last answer.
+    fn is_finished(&self, now: Micros) -> bool {
+        let Some(stop_requested_at) = self.stop_requested_at else { return false };
+        if now >= stop_requested_at + KEEP_ACCEPTING_US {
             self.door.shut();
         }
-        let late = now >= asked_at + self.grace_us.saturating_sub(SPARE_US);
-        late || (now >= asked_at + STILL_COMING_US + SHUT_US && self.door.count() == 0)
+        let grace_over = now >= stop_requested_at + self.grace_us.saturating_sub(GRACE_RESERVE_US);
+        grace_over
+            || (now >= stop_requested_at + KEEP_ACCEPTING_US + LISTENER_CLOSE_US && self.door.count() == 0)
     }
 }
 
 impl StateMachine for Shell {
-    type Message = Told;
+    type Message = Message;
 
-    fn handle(&mut self, now: Micros, told: Option<Told>) {
-        match told {
+    fn handle(&mut self, now: Micros, message: Option<Message>) {
+        match message {
             None => {
-                self.front(now, dispatcher::Input::Tick);
-                self.watch(now, false);
-                self.feed(now, feed::Input::Tick);
+                self.run_dispatcher(now, dispatcher::Input::Tick);
+                self.send_heartbeat(now, false);
+                self.run_feed(now, feed::Input::Tick);
             }
-            Some(Told::Asked(ask, reply)) => {
-                self.replies.insert(ask.id, reply);
-                self.front(now, dispatcher::Input::Request(ask));
+            Some(Message::Request(request, reply)) => {
+                self.replies.insert(request.id, reply);
+                self.run_dispatcher(now, dispatcher::Input::Request(request));
             }
-            Some(Told::Withdrawn(id)) => {
+            Some(Message::ClientGone(id)) => {
                 self.replies.remove(&id);
-                self.front(now, dispatcher::Input::ClientGone(id));
+                self.run_dispatcher(now, dispatcher::Input::ClientGone(id));
             }
-            Some(Told::Ended(id, attempt, end)) => {
-                self.front(now, dispatcher::Input::AttemptEnded { id, attempt, end });
+            Some(Message::AttemptEnded(id, attempt, end)) => {
+                self.run_dispatcher(now, dispatcher::Input::AttemptEnded { id, attempt, end });
             }
-            Some(Told::Link(link, event)) => {
+            Some(Message::Parent(link, event)) => {
                 let input = match event {
                     Event::Up => feed::Input::Connected(link),
                     Event::Received(down) => feed::Input::Received(link, down),
                     Event::Down => feed::Input::Disconnected(link),
                 };
-                self.feed(now, input);
+                self.run_feed(now, input);
             }
-            Some(Told::FollowerTaken(line)) => {
+            Some(Message::FollowerConnected(line)) => {
                 self.followers.insert(line.number, line);
             }
-            Some(Told::FollowerSays(link, Event::Received(up))) => {
-                self.feed(now, feed::Input::FromFollower(link, up))
+            Some(Message::Follower(link, Event::Received(up))) => {
+                self.run_feed(now, feed::Input::FromFollower(link, up))
             }
-            Some(Told::FollowerSays(link, Event::Down)) => {
+            Some(Message::Follower(link, Event::Down)) => {
                 self.followers.remove(&link);
-                self.feed(now, feed::Input::FollowerGone(link));
+                self.run_feed(now, feed::Input::FollowerGone(link));
             }
-            Some(Told::FollowerSays(_, Event::Up)) => {}
-            Some(Told::Here(from, here)) => self.watch.heartbeat_received(now, from, here),
-            Some(Told::Signal(SignalEvent::Settings(settings))) => {
-                log::info!("settings are read again");
+            Some(Message::Follower(_, Event::Up)) => {}
+            Some(Message::Heartbeat(from, here)) => self.failure_detector.heartbeat_received(now, from, here),
+            Some(Message::Signal(SignalEvent::Settings(settings))) => {
+                log::info!("settings reloaded");
                 self.feed.set_seeds(runtime::seeds(&settings));
             }
-            Some(Told::Signal(SignalEvent::Stop)) => {
-                log::info!("asked to end, {} requests open", self.front.open_requests());
-                self.asked_at.get_or_insert(now);
-                self.shown.draining.store(true, Ordering::Relaxed);
-                self.show();
-                self.feed(now, feed::Input::Shutdown);
+            Some(Message::Signal(SignalEvent::Stop)) => {
+                log::info!("stopping, {} requests open", self.dispatcher.open_requests());
+                self.stop_requested_at.get_or_insert(now);
+                self.status.draining.store(true, Ordering::Relaxed);
+                self.update_status();
+                self.run_feed(now, feed::Input::Shutdown);
             }
         }
-        self.show();
-        if self.front.wants_early_report() {
+        self.update_status();
+        if self.dispatcher.wants_early_report() {
             self.feed.report_soon();
         }
-        let rows = self.front.drill_rows(now);
+        let rows = self.dispatcher.drill_rows(now);
         if !rows.is_empty() {
-            self.feed(now, feed::Input::Drill(rows));
+            self.run_feed(now, feed::Input::Drill(rows));
         }
-        let tallies = self.front.tallies(now);
+        let tallies = self.dispatcher.tallies(now);
         if !tallies.is_empty() {
-            self.feed(now, feed::Input::Rollout(tallies));
+            self.run_feed(now, feed::Input::Rollout(tallies));
         }
-        if self.over(now) {
-            let _ = self.over.send(());
+        if self.is_finished(now) {
+            let _ = self.finished.send(());
         }
     }
 
     fn wake_at(&mut self) -> Micros {
-        // After a signal to end, whether all is over is looked at again and again.
-        const LOOK_US: Micros = 50_000;
-        let ends = self.asked_at.map_or(Micros::MAX, |_| self.room.clock.now() + LOOK_US);
-        self.front.wake_at().min(self.feed.wake_at()).min(self.watch.wake_at()).min(ends)
+        // After a signal to stop, `is_finished` is checked this often.
+        const FINISH_CHECK_US: Micros = 50_000;
+        let finish_check =
+            self.stop_requested_at.map_or(Micros::MAX, |_| self.room.clock.now() + FINISH_CHECK_US);
+        self.dispatcher
+            .wake_at()
+            .min(self.feed.wake_at())
+            .min(self.failure_detector.wake_at())
+            .min(finish_check)
     }
 }
