--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Whom a proxy follows.
+//! Which parent a proxy follows, and what it reports.
 
 mod common;
 
@@ -23,7 +23,7 @@
     tell_at(feed, 0, now, input)
 }
 
-/// With a copy that has come so far.
+/// With a copy at this revision.
 fn tell_at(feed: &mut Feed, rev: u64, now: u64, input: Input) -> Vec<Output> {
     let (mut out, mut copy) = (Vec::new(), Copy::default());
     copy.apply(now, rev, None);
@@ -38,7 +38,7 @@
     out.iter().find_map(|o| if let Output::Connect { ip, .. } = o { Some(*ip) } else { None })
 }
 
-/// Of the registry that is followed by this link; they are numbered from 1.
+/// A standing of the registry on this link; links are numbered from 1.
 fn standing(link: u64, fresh: bool) -> Input {
     let core = vec![(ip(1), "south-a".into()), (ip(2), "north-a".into()), (ip(3), "north-b".into())];
     let (path, away) = (Vec::new(), Vec::new());
@@ -56,7 +56,7 @@
     })
 }
 
-/// Until it goes on to another: what it is told every quarter of a beat; how long that took.
+/// Gives the input every quarter of a beat until the feed connects to another registry; returns that one and the time taken.
 fn left_after(feed: &mut Feed, from: u64, input: impl Fn() -> Option<Input>) -> (Ipv4Addr, u64) {
     for step in 1..20 {
         let now = from + step * BEAT / 4;
@@ -68,7 +68,7 @@
             return (to, now - from);
         }
     }
-    panic!("it stays for ever");
+    panic!("it never leaves its parent");
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let first = link(&tell(&mut feed, SECOND, Input::Tick)).expect("links at once");
     tell(&mut feed, SECOND, Input::Connected(1));
     tell(&mut feed, SECOND, standing(1, true));
-    // An election is no reason; a third of a beat of it is.
+    // A short interruption, such as an election, is no reason to leave; a third of a beat is.
     tell(&mut feed, SECOND, standing(1, false));
     assert_eq!(link(&tell(&mut feed, SECOND + BEAT / 3 - 1, Input::Tick)), None);
     tell(&mut feed, SECOND + BEAT / 3 - 1, standing(1, true));
@@ -107,25 +107,25 @@
     let now = now + BEAT / 3;
     let second = link(&tell(&mut feed, now, Input::Tick)).expect("goes on");
     assert_ne!(second, first);
-    // One that says so from the beginning is not waited for; where all do, each has its time.
+    // A registry that says so in its first standing is left at once. If all do, each is given the full time.
     tell(&mut feed, now, Input::Connected(2));
-    let mut met = vec![first, second];
+    let mut asked = vec![first, second];
     let mut number = 2;
     while let Some(next) = link(&tell(&mut feed, now, standing(number, false))) {
         number += 1;
-        met.push(next);
+        asked.push(next);
         tell(&mut feed, now, Input::Connected(number));
     }
-    met.sort();
-    assert_eq!(met, [ip(1), ip(2), ip(3)], "all were asked, none of them twice");
-    assert!(feed.wake_at() >= now + BEAT / 3, "and it does not go round without end");
+    asked.sort();
+    assert_eq!(asked, [ip(1), ip(2), ip(3)], "all were asked, none of them twice");
+    assert!(feed.wake_at() >= now + BEAT / 3, "and it does not go through them in an endless loop");
 }
 
 #[test]
 fn it_follows_the_nearest_that_has_not_failed_and_comes_back_to_it() {
     let mut feed = feed(&[1]);
     let mut now = SECOND;
-    assert_eq!(link(&tell(&mut feed, now, Input::Tick)), Some(ip(1)), "the only one it knows");
+    assert_eq!(link(&tell(&mut feed, now, Input::Tick)), Some(ip(1)), "the only known registry");
     tell(&mut feed, now, Input::Connected(1));
     tell(&mut feed, now, standing(1, true));
     let mut went = Vec::new();
@@ -136,7 +136,7 @@
     assert_eq!(went, [ip(3), ip(2), ip(1), ip(3)], "by nearness, then by who failed longest ago");
     tell(&mut feed, now, Input::Connected(5));
     tell(&mut feed, now, standing(5, true));
-    // One that does not answer the call is left, too.
+    // A registry that does not answer the connection attempt is left, too.
     let now = now + 10 * BEAT;
     assert_eq!(link(&tell(&mut feed, now, Input::Disconnected(5))), Some(ip(2)));
     let (to, took) = left_after(&mut feed, now, || None);
@@ -149,7 +149,7 @@
     tell(&mut feed, SECOND, Input::Tick);
     let out = tell_at(&mut feed, 7, SECOND, Input::Connected(1));
     assert!(matches!(&out[0], Output::SendUp(1, Up::Hello { rev: 7, .. })));
-    assert_eq!(report(&out), None, "it is asked for the use of tenants first");
+    assert_eq!(report(&out), None, "the use of tenants must be set first");
     assert_eq!(report(&tell_at(&mut feed, 7, SECOND, Input::Tick)), Some((7, 1)));
     let news = News::Run { from: 7, to: 9, commands: Vec::new() };
     let out = tell_at(&mut feed, 7, SECOND + 10_000, Input::Received(1, Down::News(news)));
@@ -158,9 +158,9 @@
     feed.report_soon();
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 100_000, Input::Tick)), Some((9, 2)));
     feed.report_soon();
-    assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 150_000, Input::Tick)), None, "not all the time");
+    assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 150_000, Input::Tick)), None, "not too often");
     assert_eq!(report(&tell_at(&mut feed, 9, SECOND + 200_000, Input::Tick)), Some((9, 3)));
-    // With the standings of the registry, and without them a little later.
+    // With each standing of the registry, and a little later if none arrives.
     let mut now = SECOND + 200_000 + BEAT / 3;
     assert_eq!(report(&tell_at(&mut feed, 9, now, standing(1, true))), None);
     assert_eq!(report(&tell_at(&mut feed, 9, now, Input::Tick)), Some((9, 4)));
@@ -181,12 +181,12 @@
         now = feed.wake_at();
         asked.push(link(&tell(&mut feed, now, Input::Tick)).expect("goes on to the next"));
     }
-    assert!(waited[1] == waited[0] && waited[0] < waited[2], "the last one has longer: {waited:?}");
+    assert!(waited[1] == waited[0] && waited[0] < waited[2], "the last one is given more time: {waited:?}");
     assert!(asked[0] != asked[1] && !asked[..2].contains(&asked[2]) && asked[3] == asked[0], "{asked:?}");
 }
 
-/// Says that it is fresh, by its own clock at that time.
-fn said(link: u64, said_at: u64) -> Input {
+/// A standing with a fresh copy, sent at this time by the registry's clock.
+fn standing_sent_at(link: u64, said_at: u64) -> Input {
     let core = vec![(ip(1), "south-a".into()), (ip(2), "north-a".into()), (ip(3), "north-b".into())];
     let (path, away) = (Vec::new(), Vec::new());
     let said_at = Some(said_at);
@@ -196,60 +196,64 @@
     )
 }
 
-/// Seen as late configurations and requests to servers that leave, at proxies that nothing was done to: news waited behind
-/// news on a slow link, and each standing that came through counted from when it came. So a proxy that was seconds behind
-/// took itself for fresh and never left. What proved it: links that carry all at once.
+/// Guards against standings that count from their arrival. Updates were queued on a slow link, and each standing counted from
+/// when it came through, so a proxy that was seconds behind took itself for fresh and never changed its parent. Seen as late
+/// configurations and as requests to servers that were leaving, at proxies without any fault; links that deliver at once
+/// confirmed the cause.
 #[test]
-fn a_standing_that_waited_on_its_way_is_as_old_as_it_is() {
+fn a_delayed_standing_counts_from_when_it_was_sent() {
     const THERE: u64 = 77 * SECOND;
     for late in [0, 2 * SECOND] {
         let mut feed = feed(&[1, 2]);
         let mut now = SECOND;
         link(&tell(&mut feed, now, Input::Tick)).expect("links at once");
         tell(&mut feed, now, Input::Connected(1));
-        tell(&mut feed, now, said(1, THERE));
+        tell(&mut feed, now, standing_sent_at(1, THERE));
         let greeted = now;
-        // Each is said in time, and comes a little later than the one before.
-        let mut left = None;
+        // Each is sent in time, and is delayed a little more than the one before.
+        let mut left_at_delay = None;
         for step in 1..=20 {
             now = greeted + step * BEAT / 3;
             let waited = late * step / 20;
-            let out = tell(&mut feed, now, said(1, THERE + (now - greeted) - waited));
+            let out = tell(&mut feed, now, standing_sent_at(1, THERE + (now - greeted) - waited));
             if link(&out).is_some() {
-                left = Some(waited);
+                left_at_delay = Some(waited);
                 break;
             }
-            assert_eq!(feed.fresh_at().map(|at| now - at), Some(waited), "its age is known");
+            assert_eq!(feed.fresh_at().map(|at| now - at), Some(waited), "the delay counts");
         }
-        assert_eq!(left.is_some(), late > 0, "it is left once it is too late");
-        assert!(left.is_none_or(|waited| waited <= SECOND + BEAT / 3), "and not much after that: {left:?}");
+        assert_eq!(left_at_delay.is_some(), late > 0, "the parent is left once the delay is too long");
+        assert!(
+            left_at_delay.is_none_or(|waited| waited <= SECOND + BEAT / 3),
+            "and soon after that: {left_at_delay:?}"
+        );
     }
 }
 
-/// The clocks of two processes have begun at different times; the one who answers may be slow in it.
+/// The clocks of two processes start at different times, and the first answer may be slow.
 #[test]
-fn what_the_first_answer_took_counts_against_it() {
+fn the_delay_of_the_first_standing_counts_as_its_age() {
     let mut feed = feed(&[1, 2]);
     tell(&mut feed, SECOND, Input::Tick);
     tell(&mut feed, SECOND, Input::Connected(1));
     let slow = BEAT / 2;
-    tell(&mut feed, SECOND + slow, said(1, 5));
-    assert_eq!(feed.fresh_at(), Some(SECOND), "it may have been said as soon as it was asked");
-    tell(&mut feed, SECOND + 2 * slow, said(1, 5 + slow));
+    tell(&mut feed, SECOND + slow, standing_sent_at(1, 5));
+    assert_eq!(feed.fresh_at(), Some(SECOND), "it may have been sent as soon as it was asked for");
+    tell(&mut feed, SECOND + 2 * slow, standing_sent_at(1, 5 + slow));
     assert_eq!(feed.fresh_at(), Some(SECOND + slow));
 }
 
-/// What is passed down the tree tells how old it is already, over all links that it came by.
+/// A message that is passed down the tree tells its age, summed over all links so far.
 #[test]
-fn readings_and_leases_that_waited_on_their_way_are_as_old_as_they_are() {
+fn delayed_readings_and_leases_count_from_when_they_were_made() {
     const THERE: u64 = 90 * SECOND;
     let mut feed = feed(&[1, 2]);
     tell(&mut feed, SECOND, Input::Tick);
     tell(&mut feed, SECOND, Input::Connected(1));
-    tell(&mut feed, SECOND, said(1, THERE));
+    tell(&mut feed, SECOND, standing_sent_at(1, THERE));
     tell(&mut feed, SECOND, Input::FromFollower(7, Up::Hello { node: node(5, "north-b"), rev: 0 }));
     let now = SECOND + BEAT / 4;
-    // Made a tenth of a second before it was said, and 50 ms on its way.
+    // Made a tenth of a second before it was sent, and 50 ms on its way.
     let already = SECOND / 10;
     let waited = SECOND / 20;
     let made_at = now - waited - already;
