--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree that proxies form, with the registry's own board at its root, on simulated time.
+//! The tree that proxies form below the registry's own state machine, on simulated time.
 
 use cluster::copy::Copy;
 use cluster::state::{Command, Node};
@@ -13,7 +13,7 @@
 const MS: Micros = 1000;
 const SECOND: Micros = 1000 * MS;
 const BEAT: Micros = 1500 * MS;
-/// An acknowledged version must be in force everywhere.
+/// The time within which an acknowledged version must be in force everywhere.
 const APPLIED: Micros = 3 * SECOND;
 
 const USE: Use = Use { tenant: 1, wanted: 2000, used: 1000 };
@@ -39,7 +39,9 @@
     feed: Feed,
 }
 
+/// A link between a proxy and its parent.
 struct Wire {
+    /// The proxy that opened it, and its number for the link.
     child: (Ipv4Addr, u64),
     to: Ipv4Addr,
 }
@@ -48,9 +50,10 @@
     Linked(u64),
     Down(u64, Down),
     Up(u64, Up),
-    /// The link's child, or its other end, learns that it has ended.
-    ChildLoses(Wire),
-    OtherLoses(u64, Wire),
+    /// The proxy that opened the link learns that it has ended.
+    ChildDisconnected(Wire),
+    /// The parent learns that the link has ended.
+    ParentDisconnected(u64, Wire),
     Peer(Ipv4Addr, Gossip),
 }
 
@@ -62,16 +65,16 @@
     proxies: BTreeMap<Ipv4Addr, Proxy>,
     boards: BTreeMap<Ipv4Addr, Board>,
     wires: BTreeMap<u64, Wire>,
-    /// They say and hear nothing.
+    /// Machines that send and receive nothing.
     frozen: BTreeSet<Ipv4Addr>,
     rev: Rev,
-    /// Draws who is told which proxies to be away.
+    /// Seed by which standings name random proxies as not to be followed.
     confused: Option<u64>,
     messages: u64,
 }
 
-/// What a store answers that holds all; the first of the core leads.
-fn stands(core: &[Ipv4Addr], me: Ipv4Addr, asked: Micros) -> FromStore {
+/// The standing of a store that holds all agreed state; the first of the core leads.
+fn store_standing(core: &[Ipv4Addr], me: Ipv4Addr, asked: Micros) -> FromStore {
     let (core, leads) = (core.to_vec(), me == core[0]);
     FromStore::Standing { core, fresh_ms: Some(0), leads, term: 1, asked }
 }
@@ -96,7 +99,7 @@
             let mut board = Board::new(terms, world.now);
             let mut out = Vec::new();
             board.handle(world.now, board::Input::StoreUp, &mut out);
-            let standing = stands(&ips, *me, world.now);
+            let standing = store_standing(&ips, *me, world.now);
             board.handle(world.now, board::Input::Store(standing), &mut out);
             world.boards.insert(*me, board);
         }
@@ -117,7 +120,7 @@
         self.events.insert((self.now + wait, self.numbers), event);
     }
 
-    /// On the way to this machine; core machines are in the north.
+    /// The delay of a message to this machine; core machines are in the north.
     fn delay(&self, child: Ipv4Addr, to: Ipv4Addr) -> Micros {
         let south = self.proxies.get(&child).is_some_and(|p| p.node.region == "south");
         if self.boards.contains_key(&to) && south { 17 * MS } else { MS }
@@ -149,7 +152,7 @@
                 }
                 board::Output::Store(ToStore::Stand { asked }) => {
                     let core: Vec<Ipv4Addr> = self.boards.keys().copied().collect();
-                    self.board(ip, board::Input::Store(stands(&core, ip, asked)));
+                    self.board(ip, board::Input::Store(store_standing(&core, ip, asked)));
                 }
                 _ => {}
             }
@@ -173,9 +176,9 @@
         if let Some(wire) = self.wires.remove(&link) {
             let wait = self.delay(wire.child.0, wire.to);
             if by_child {
-                self.post(wait, Event::OtherLoses(link, wire));
+                self.post(wait, Event::ParentDisconnected(link, wire));
             } else {
-                self.post(wait, Event::ChildLoses(wire));
+                self.post(wait, Event::ChildDisconnected(wire));
             }
         }
     }
@@ -223,7 +226,10 @@
                 Output::SendUp(link, up) => {
                     let found = self.wires.iter().find(|(_, w)| w.child == (ip, link));
                     if let Up::Report { usage, .. } = &up {
-                        assert!(usage.iter().all(|u| u.tenants == [USE]), "a report that tells no use");
+                        assert!(
+                            usage.iter().all(|u| u.tenants == [USE]),
+                            "a report without the use of tenants"
+                        );
                     }
                     if let Some((number, to)) = found.map(|(n, w)| (*n, w.to)) {
                         self.messages += 1;
@@ -256,11 +262,11 @@
                     self.proxy(to, Input::FromFollower(link, up));
                 }
             }
-            Event::ChildLoses(wire) => self.proxy(wire.child.0, Input::Disconnected(wire.child.1)),
-            Event::OtherLoses(link, wire) if self.boards.contains_key(&wire.to) => {
+            Event::ChildDisconnected(wire) => self.proxy(wire.child.0, Input::Disconnected(wire.child.1)),
+            Event::ParentDisconnected(link, wire) if self.boards.contains_key(&wire.to) => {
                 self.board(wire.to, board::Input::ProxyDown(link));
             }
-            Event::OtherLoses(link, wire) => self.proxy(wire.to, Input::FollowerGone(link)),
+            Event::ParentDisconnected(link, wire) => self.proxy(wire.to, Input::FollowerGone(link)),
             Event::Peer(to, gossip) => self.board(to, board::Input::Peer(gossip)),
         }
     }
@@ -309,7 +315,7 @@
         known.into_iter().next().unwrap()
     }
 
-    /// Something that has been acknowledged now is everywhere in time.
+    /// Commits a command and checks that it reaches all live proxies in time.
     fn reaches_all(&mut self) {
         let rev = self.commit(Command::Evacuate { zone: "south-a".into(), on: true });
         self.run(APPLIED);
@@ -332,13 +338,13 @@
         let at = |depth| depths.iter().filter(|d| **d == depth).count();
         assert_eq!((at(0), at(1), at(2)), (1, tree::FANOUT, 15 - 1 - tree::FANOUT));
     }
-    // Calm: one standing and one report for each link.
+    // Without faults there are one standing and one report for each link.
     let before = world.messages;
     world.run(3 * SECOND);
     let each = (world.messages - before) as f64 / (30.0 * 6.0);
-    assert!(each < 2.1, "{each} messages for each proxy and pulse");
+    assert!(each < 2.1, "{each} messages for each proxy and report interval");
     world.reaches_all();
-    // And the registries name them all.
+    // And all registries list all of them.
     for board in world.boards.values() {
         assert!(world.proxies.keys().all(|ip| board.presence.alive(world.now, &board.copy.state, *ip)));
     }
@@ -367,7 +373,7 @@
     assert!(after.epoch > before.epoch && after.ip != before.ip);
     assert_eq!(world.heads("south"), [after.ip]);
 
-    // It comes back: it is the first again, under yet another epoch.
+    // When it comes back it is the head again, under yet another epoch.
     world.frozen.clear();
     world.run(20 * SECOND);
     let again = world.epoch("south");
@@ -386,7 +392,7 @@
 }
 
 #[test]
-fn whoever_is_told_whatever_of_the_others_the_news_arrive_and_no_circle_lasts() {
+fn whatever_standings_say_about_other_proxies_updates_arrive_and_no_cycle_lasts() {
     for seed in 1..=5 {
         let mut world = World::new(2, 24);
         world.confused = Some(seed);
@@ -410,7 +416,7 @@
     Standing { rev: 1, fresh_ms: Some(fresh_ms), core, path, head: Some(head), away: vec![], said_at: None }
 }
 
-/// A proxy that has moved from the registry to the relay that the order names.
+/// A proxy that has moved from the registry to the relay that its position in the order gives it.
 struct Follower {
     feed: Feed,
     copy: Copy,
@@ -442,13 +448,16 @@
                 break found;
             }
             f.now += 500 * MS;
-            assert!(f.now < 10 * SECOND, "it would go to the relay");
+            assert!(f.now < 10 * SECOND, "it should have moved to the relay");
         };
         assert_eq!(ip, f.order[0]);
         f.take(Input::Connected(relay));
         f.link = relay;
         let out = f.take(Input::Received(relay, Down::Standing(standing(0, vec![ip], f.head))));
-        assert!(out.iter().any(|o| matches!(o, Output::Disconnect(1))), "the registry is left only now");
+        assert!(
+            out.iter().any(|o| matches!(o, Output::Disconnect(1))),
+            "the registry is left only once the relay has proved fresh"
+        );
         f
     }
 
@@ -458,9 +467,9 @@
         out
     }
 
-    /// Whether it goes to the registry when the relay says this.
-    fn leaves(&mut self, said: Standing) -> bool {
-        let out = self.take(Input::Received(self.link, Down::Standing(said)));
+    /// Whether it returns to the registry when the relay sends this standing.
+    fn leaves(&mut self, standing: Standing) -> bool {
+        let out = self.take(Input::Received(self.link, Down::Standing(standing)));
         out.iter().any(|o| matches!(o, Output::Connect { ip, relay: false, .. } if *ip == core(1)))
     }
 }
@@ -477,11 +486,11 @@
 }
 
 #[test]
-fn a_relay_is_left_in_a_circle_and_when_its_head_is_over_and_when_news_were_lost() {
+fn a_relay_is_left_in_a_cycle_or_under_an_old_head_or_when_updates_were_lost() {
     let mut f = Follower::new();
     let path = vec![f.order[0]];
     assert!(!f.leaves(standing(0, path.clone(), f.head)));
-    assert!(f.leaves(standing(0, vec![f.order[3], f.order[0]], f.head)), "a circle");
+    assert!(f.leaves(standing(0, vec![f.order[3], f.order[0]], f.head)), "a cycle");
 
     let mut f = Follower::new();
     assert!(!f.leaves(standing(0, path.clone(), Head { epoch: 6, ip: f.order[1] })));
@@ -493,12 +502,12 @@
         f.now += 250 * MS;
         f.leaves(ahead.clone())
     });
-    assert!(left, "what is ahead of the copy here does not make it fresh");
+    assert!(left, "a standing ahead of the copy here does not make the copy fresh");
 
     let mut f = Follower::new();
     let up = Up::Hello { node: f.copy.state.nodes[&f.order[0]].clone(), rev: 1 };
     let out = f.take(Input::FromFollower(77, up));
-    assert!(out.iter().any(|o| matches!(o, Output::DropFollower(77))), "whom it follows cannot follow it");
+    assert!(out.iter().any(|o| matches!(o, Output::DropFollower(77))), "its parent cannot follow it");
 }
 
 #[test]
