--- a/crates/proxy/tests/failure_detector.rs
+++ b/crates/proxy/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Proxies that watch each other, and the registry that hears of their suspicions.
+//! Failure detection between proxies, and how the registry acts on their suspicions.
 
 use cluster::copy::Copy;
 use cluster::state::{Command, Node, NodeChange};
@@ -22,7 +22,7 @@
     (1..=count).map(|n| (node(n).ip, node(n))).collect()
 }
 
-/// All proxies in rounds; those of `silent` neither say nor hear anything.
+/// All proxies, in rounds of heartbeats; those in `silent` send and receive nothing.
 struct World {
     now: Micros,
     all: BTreeMap<Ipv4Addr, FailureDetector>,
@@ -39,18 +39,18 @@
     }
 
     fn round(&mut self, silent: &BTreeSet<Ipv4Addr>, lost: impl Fn(Ipv4Addr, Ipv4Addr) -> bool) {
-        let mut said: Vec<(Ipv4Addr, Ipv4Addr, Here)> = Vec::new();
+        let mut sent: Vec<(Ipv4Addr, Ipv4Addr, Here)> = Vec::new();
         for (ip, watch) in self.all.iter_mut().filter(|(ip, _)| !silent.contains(ip)) {
             let (here, to) = watch.next_heartbeat(self.now, false).expect("a round is due");
-            said.extend(to.iter().map(|to| (*ip, *to, here)));
+            sent.extend(to.iter().map(|to| (*ip, *to, here)));
         }
-        for (from, to, here) in said.into_iter().filter(|(f, t, _)| !lost(*f, *t) && !silent.contains(t)) {
+        for (from, to, here) in sent.into_iter().filter(|(f, t, _)| !lost(*f, *t) && !silent.contains(t)) {
             self.all.get_mut(&to).unwrap().heartbeat_received(self.now, from, here);
         }
         self.now += ROUND;
     }
 
-    /// Who suspects whom, of those that are not silent themselves.
+    /// Pairs of a suspected proxy and the one that suspects it, which is not silent itself.
     fn suspicions(&self, silent: &BTreeSet<Ipv4Addr>) -> BTreeSet<(Ipv4Addr, Ipv4Addr)> {
         let awake = self.all.iter().filter(|(ip, _)| !silent.contains(ip));
         awake.flat_map(|(by, w)| w.suspects().into_iter().map(|(ip, _)| (ip, *by))).collect()
@@ -62,7 +62,7 @@
     let nodes = nodes(12);
     let mut world = World::new(&nodes);
     let none = BTreeSet::new();
-    // Each loses two of three.
+    // Two of three heartbeats are lost.
     for n in 0..30 {
         world.round(&none, |_, _| n % 3 > 0);
         assert!(world.suspicions(&none).is_empty(), "round {n}");
@@ -77,23 +77,23 @@
     let by: BTreeSet<_> = watch::watchers(&nodes, &node(5)).into_iter().map(|by| (frozen, by)).collect();
     assert_eq!(by.len(), watch::WATCHERS);
     assert_eq!(world.suspicions(&silent), by);
-    // It wakes: nobody suspects it, and it suspects nobody of what it missed itself.
+    // It resumes: nobody suspects it, and it suspects nobody because of heartbeats that it missed itself.
     world.round(&none, |_, _| false);
     world.round(&none, |_, _| false);
     assert!(world.suspicions(&none).is_empty());
 }
 
 #[test]
-fn one_proxy_more_or_less_changes_few_names() {
+fn one_proxy_more_or_less_changes_few_watchers() {
     let (many, few) = (nodes(30), nodes(29));
-    let names = |nodes: &BTreeMap<Ipv4Addr, Node>| -> BTreeSet<(Ipv4Addr, Ipv4Addr)> {
+    let watch_pairs = |nodes: &BTreeMap<Ipv4Addr, Node>| -> BTreeSet<(Ipv4Addr, Ipv4Addr)> {
         let each = few.values().map(|n| (n.ip, watch::watchers(nodes, n)));
         each.flat_map(|(ip, by)| by.into_iter().map(move |by| (ip, by))).collect()
     };
-    let (before, after) = (names(&few), names(&many));
+    let (before, after) = (watch_pairs(&few), watch_pairs(&many));
     assert_eq!(before.len(), 29 * watch::WATCHERS);
     let new = node(30).ip;
-    assert!(after.difference(&before).all(|(_, by)| *by == new), "only the new one is new anywhere");
+    assert!(after.difference(&before).all(|(_, by)| *by == new), "only the new proxy is a new watcher");
     assert!(after.difference(&before).count() < 9, "about three watch it, so it watches about three");
 }
 
@@ -118,11 +118,14 @@
     let (ip, now) = (node(1).ip, 1400 * MS);
     presence.seen(now, seen(2, 2, &[(ip, 7)]));
     presence.seen(now, seen(3, 2, &[(ip, 6)]));
-    assert!(presence.alive(now, &copy.state, ip), "one alone may be cut off; another means an earlier life");
+    assert!(
+        presence.alive(now, &copy.state, ip),
+        "one watcher alone may be cut off, and the other suspects an earlier life"
+    );
     presence.seen(now, seen(3, 3, &[(ip, 7)]));
     assert!(!presence.alive(now, &copy.state, ip));
     presence.seen(now, seen(1, 2, &[]));
-    assert!(presence.alive(now, &copy.state, ip), "it speaks for itself");
+    assert!(presence.alive(now, &copy.state, ip), "its own report counts");
     presence.seen(now, seen(3, 4, &[]));
     assert!(presence.alive(now + 1400 * MS, &copy.state, ip), "not suspected by two any more");
 }
