--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,8 +1,8 @@
 //! Dispatches requests to servers. This is a state machine without I/O: requests, results of attempts and state updates
 //! come in; attempts to send and answers go out.
 //!
-//! To the client, 429 and 503 promise that the request has not run and will not. They are therefore sent only where that
-//! is known, or where the request may run more than once anyway.
+//! To the client, 429 and 503 promise that the request has not run and will not. They are therefore sent only where
+//! that is known, or where the request may run more than once anyway.
 
 use crate::book::{Book, List, Peer, Place, REGION};
 use crate::cramp::{Cramp, Shown};
@@ -808,8 +808,8 @@
         self.rebuild_list(out);
     }
 
-    /// Applies an update to the copy; true: the copy has changed. Where there are bookings, commands are applied one at a
-    /// time, because a share that was smaller only for a moment binds too.
+    /// Applies an update to the copy; true: the copy has changed. Where there are bookings, commands are applied one at
+    /// a time, because a share that was smaller only for a moment binds too.
     fn update_copy(&mut self, news: News) -> bool {
         let booked = !self.copy.state.bookings.is_empty();
         let mut changed = false;
@@ -936,8 +936,8 @@
     matches!(news, News::Run { commands, .. } if !commands.is_empty() && commands.iter().all(|(_, c)| adds_only(c)))
 }
 
-/// The use of a quota, as a fraction of it, that the decider is told for a plan that has used up what may be sent ahead of
-/// a reading: above 1, so that only this proxy's even share remains from now on and savings count as spent.
+/// The use of a quota, as a fraction of it, that the decider is told for a plan that has used up what may be sent ahead
+/// of a reading: above 1, so that only this proxy's even share remains from now on and savings count as spent.
 const EXHAUSTED_USE: f64 = 1.2;
 
 /// The `Retry-After` of refusals that are decided here and not by the decider.
@@ -963,8 +963,8 @@
     Ok((route, config.tenants.as_ref().map(|t| &t[found])))
 }
 
-/// Applies a drill's fault to a server's complete answer. The request has run, so no answer here may promise that it has
-/// not.
+/// Applies a drill's fault to a server's complete answer. The request has run, so no answer here may promise that it
+/// has not.
 fn answer_with_fault(
     late: &mut BTreeMap<(Micros, u64), Answer>,
     (id, now, until): (u64, Micros, Micros),
--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// The heartbeat to send now, if one is due, and to whom. `soon`: another message is being sent anyway, so the heartbeat
-    /// may go out a little early.
+    /// The heartbeat to send now, if one is due, and to whom. `soon`: another message is being sent anyway, so the
+    /// heartbeat may go out a little early.
     pub fn next_heartbeat(&mut self, now: Micros, soon: bool) -> Option<(Here, &[Ipv4Addr])> {
         self.advance(now);
         let early = if soon { self.period_us / 4 } else { 0 };
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -1,6 +1,6 @@
 //! Keeps this proxy's copy of the cluster state up to date: chooses a parent (a registry, or a relay, which is another
-//! proxy), notices when the parent can no longer deliver current state, moves to another one, and passes everything on to
-//! the proxies that follow this one. See docs/system/relays.md.
+//! proxy), notices when the parent can no longer deliver current state, moves to another one, and passes everything on
+//! to the proxies that follow this one. See docs/system/relays.md.
 //!
 //! A state machine without I/O. A *standing* is the periodic message by which a parent tells how current its copy is.
 
@@ -64,8 +64,8 @@
 const MISSED_MESSAGES: Micros = 3;
 /// The shortest time between two reports.
 const MIN_REPORT_GAP_US: Micros = 100_000;
-/// How long a link may take to come up. A machine that is down does not answer at all, so the time is shorter while there is
-/// another registry that has not failed lately.
+/// How long a link may take to come up. A machine that is down does not answer at all, so the time is shorter while
+/// there is another registry that has not failed lately.
 const CONNECT_TIMEOUT_US: Micros = 700_000;
 const CONNECT_TIMEOUT_WITH_ALTERNATIVE_US: Micros = 300_000;
 /// For this many beats a machine that has failed is tried only after all others.
@@ -75,8 +75,8 @@
 /// How long the reports of each level below are awaited, so that one report of this proxy carries them all.
 const GATHER_PER_LEVEL_US: Micros = 20_000;
 /// In percent of a report interval: a relay forwards a standing as it arrives, and sends one of its own after
-/// `RELAY_STANDING_PERCENT` if none does. A silent relay is given up after `RELAY_SILENCE_PERCENT`, sooner than a registry, because its
-/// followers must have reported elsewhere before they are taken for failed along with it.
+/// `RELAY_STANDING_PERCENT` if none does. A silent relay is given up after `RELAY_SILENCE_PERCENT`, sooner than a
+/// registry, because its followers must have reported elsewhere before they are taken for failed along with it.
 const RELAY_STANDING_PERCENT: Micros = 110;
 const RELAY_SILENCE_PERCENT: Micros = 210;
 
@@ -106,8 +106,9 @@
 }
 
 /// An estimate of a parent's monotonic clock. Its first standing answers this proxy's first message, so it was sent no
-/// earlier than that message; later ones by as much later as the parent's clock tells. A message that was delayed, in a queue
-/// or by a process that was stopped, is therefore known to be as old as it is, and not taken for as new as its arrival.
+/// earlier than that message; later ones by as much later as the parent's clock tells. A message that was delayed, in a
+/// queue or by a process that was stopped, is therefore known to be as old as it is, and not taken for as new as its
+/// arrival.
 #[derive(Clone, Copy)]
 struct PeerClock {
     /// When the first standing was sent, by the parent's clock, and the earliest local time that this can have been.
@@ -129,15 +130,16 @@
         self.offset = self.offset.min(now.wrapping_sub(said_at) as i64);
     }
 
-    /// The local time at which a message would have arrived without delay. Never too early: what is limited by it may not
-    /// end early.
+    /// The local time at which a message would have arrived without delay. Never too early: what is limited by it may
+    /// not end early.
     fn latest(self, said_at: Micros) -> Micros {
         said_at.wrapping_add_signed(self.offset)
     }
 }
 
 impl Parent {
-    /// The earliest local time at which a standing that has arrived now can have been sent; without a time of its own, now.
+    /// The earliest local time at which a standing that has arrived now can have been sent; without a time of its own,
+    /// now.
     fn sent_at(&mut self, now: Micros, said_at: Option<Micros>) -> Micros {
         let Some(said_at) = said_at else { return now };
         let asked_at = self.connected_at;
@@ -266,7 +268,8 @@
         } else {
             MISSED_MESSAGES * self.report_interval()
         };
-        // The limit grows with each relay on the path, so that a relay can find another parent before its followers leave it.
+        // The limit grows with each relay on the path, so that a relay can find another parent before its followers
+        // leave it.
         let stale =
             MISSED_MESSAGES * self.report_interval() + p.path.len() as Micros * self.report_interval() / 2;
         // A registry that says itself that its copy is not fresh is left sooner if there is another one to try.
@@ -484,8 +487,8 @@
         }
     }
 
-    /// Gives up a parent that is silent or stale and makes sure that there is one. After any failure it is a registry, as
-    /// nothing is known about the rest of the tree; a better parent is tried once things have settled.
+    /// Gives up a parent that is silent or stale and makes sure that there is one. After any failure it is a registry,
+    /// as nothing is known about the rest of the tree; a better parent is tried once things have settled.
     fn maintain_parent(&mut self, out: &mut Vec<Output>) {
         let given_up = self.parent.iter().chain(&self.candidate).filter(|p| self.now >= self.give_up_at(p));
         for link in given_up.map(|p| p.link).collect::<Vec<_>>() {
@@ -534,8 +537,8 @@
     fn better_parent(&self, p: &Parent) -> Option<(Ipv4Addr, bool)> {
         let above = self.position.and_then(tree::parent);
         if p.relay {
-            // A relay earlier in the order is as good as any, if its path has no more relays than this proxy's position in
-            // the order asks for.
+            // A relay earlier in the order is as good as any, if its path has no more relays than this proxy's position
+            // in the order asks for.
             let positions = self.position.zip(self.position_of(p.ip));
             if positions.is_some_and(|(mine, its)| its < mine && p.path.len() <= tree::depth(mine)) {
                 return None;
@@ -582,8 +585,8 @@
         }
     }
 
-    /// The first live proxy in the order, if it follows a registry, is the region's head, under an epoch above all that it
-    /// knows of.
+    /// The first live proxy in the order, if it follows a registry, is the region's head, under an epoch above all that
+    /// it knows of.
     fn claim_head(&mut self) {
         let follows_registry = self.parent.as_ref().is_some_and(|p| p.proved_fresh && !p.relay);
         if !(follows_registry && self.ready && self.position == Some(0)) {
@@ -640,7 +643,8 @@
             }
             Up::Report { rev, seen, usage, .. } => {
                 if self.relay.report_received(link, rev, seen, usage, until) {
-                    // A follower has reported early, so this proxy does too, unless its report is about to go out anyway.
+                    // A follower has reported early, so this proxy does too, unless its report is about to go out
+                    // anyway.
                     if self.report_at > self.now + self.gather_delay_us() {
                         self.report_within(GATHER_PER_LEVEL_US);
                     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The proxy, which carries clients' requests to servers. [`dispatcher`] handles requests, around the decision module that
-//! the proxy shares with the gateway; [`book`] turns the agreed state into that module's settings; [`feed`] keeps the copy
-//! of the state up to date and passes updates on, by [`relay`] and [`tree`]; [`failure_detector`] notices silent
-//! neighbours; [`drill`] tells which requests get an injected fault, [`rollout`] what may go to a new version, [`servers`]
-//! which attempt an answer belongs to. None of them does I/O or reads a clock; `main.rs` has the sockets.
+//! The proxy, which carries clients' requests to servers. [`dispatcher`] handles requests, around the decision module
+//! that the proxy shares with the gateway; [`book`] turns the agreed state into that module's settings; [`feed`] keeps
+//! the copy of the state up to date and passes updates on, by [`relay`] and [`tree`]; [`failure_detector`] notices
+//! silent neighbours; [`drill`] tells which requests get an injected fault, [`rollout`] what may go to a new version,
+//! [`servers`] which attempt an answer belongs to. None of them does I/O or reads a clock; `main.rs` has the sockets.
 
 pub mod book;
 pub mod cramp;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -38,8 +38,8 @@
 const ANSWER_BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 32 << 20 };
 /// The most requests of one client's connection that are in flight at once.
 const MAX_PIPELINED: usize = 16;
-/// The limits of clients' requests until there is a configuration: bytes of the head and of the body, microseconds to wait
-/// for the header and on an idle connection.
+/// The limits of clients' requests until there is a configuration: bytes of the head and of the body, microseconds to
+/// wait for the header and on an idle connection.
 const DEFAULT_LIMITS: (usize, usize, u64, u64) = (16 * 1024, 1 << 20, 3_000_000, 15_000_000);
 /// Descriptors reserved for files and everything else that is not a connection.
 const RESERVED_DESCRIPTORS: u64 = 232;
@@ -493,8 +493,9 @@
         }
     }
 
-    /// Whether the proxy may exit after a signal to stop. New connections are accepted for a while, as clients still connect
-    /// by what they were told before; then the listener is closed, and each open connection ends with its last answer.
+    /// Whether the proxy may exit after a signal to stop. New connections are accepted for a while, as clients still
+    /// connect by what they were told before; then the listener is closed, and each open connection ends with its last
+    /// answer.
     fn is_finished(&self, now: Micros) -> bool {
         let Some(stop_requested_at) = self.stop_requested_at else { return false };
         if now >= stop_requested_at + KEEP_ACCEPTING_US {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,5 +1,5 @@
-//! A proxy as a relay for its followers: it sends them updates of the state and collects their reports, which go up with
-//! its own.
+//! A proxy as a relay for its followers: it sends them updates of the state and collects their reports, which go up
+//! with its own.
 
 use cluster::copy::Copy;
 use cluster::follow::Followers;
--- a/crates/proxy/src/tree.rs
+++ b/crates/proxy/src/tree.rs
@@ -1,5 +1,5 @@
-//! The tree of the proxies of a region: rendezvous hashing puts the proxies in an order, and positions in that order form
-//! the tree.
+//! The tree of the proxies of a region: rendezvous hashing puts the proxies in an order, and positions in that order
+//! form the tree.
 
 use cluster::state::Node;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -1,6 +1,7 @@
 //! A model test of the dispatcher and of the connections to servers. Servers answer late, twice, in part, without being
 //! asked, or reset at each byte, and clients leave at any step. Small setups are explored exhaustively, larger ones by
-//! random runs. All code is the proxy's own except the I/O loop around a connection, for which `on_event` and `send` stand in.
+//! random runs. All code is the proxy's own except the I/O loop around a connection, for which `on_event` and `send`
+//! stand in.
 
 mod common;
 #[path = "../../net/tests/common/tape.rs"]
@@ -82,8 +83,8 @@
     }
 }
 
-/// The proxy's protocol with servers. `ignore_ids`: every answer is taken as if it named the awaited attempt, so that the
-/// connection's own checks must be enough, as they must be where servers do not name attempts.
+/// The proxy's protocol with servers. `ignore_ids`: every answer is taken as if it named the awaited attempt, so that
+/// the connection's own checks must be enough, as they must be where servers do not name attempts.
 struct Protocol {
     servers: Servers<Report>,
     ignore_ids: bool,
--- a/crates/proxy/tests/dispatcher.rs
+++ b/crates/proxy/tests/dispatcher.rs
@@ -22,8 +22,8 @@
 
 #[test]
 fn a_download_stays_in_its_region_only_while_a_server_there_may_take_it() {
-    // Path, key, whether north-b serves; the expected server. The route /far/ and the tenant of k2 may be served only in
-    // the south.
+    // Path, key, whether north-b serves; the expected server. The route /far/ and the tenant of k2 may be served only
+    // in the south.
     for (path, key, open, to) in [
         ("/load/", "k1", true, "n"),
         ("/load/", "k1", false, "s"),
@@ -121,8 +121,8 @@
 
 #[test]
 fn only_a_request_that_has_not_run_is_answered_as_not_executed() {
-    // How the first attempt at an unsafe request ends: status, whether the server says that it has not run it; the answer,
-    // or none if another server is tried.
+    // How the first attempt at an unsafe request ends: status, whether the server says that it has not run it; the
+    // answer, or none if another server is tried.
     for (status, not_run, answer) in [
         (200, false, Some(200)),
         (400, false, Some(400)),
@@ -177,8 +177,8 @@
         assert_eq!(proxy.status(), (!again).then_some(502), "{path} {execution:?}");
         assert!(proxy.goes_to().is_none_or(|to| to != first), "another server");
     }
-    // No answer at all: an unsafe request is not retried after its timeout, and gets 504, which does not say that it has
-    // not run.
+    // No answer at all: an unsafe request is not retried after its timeout, and gets 504, which does not say that it
+    // has not run.
     let mut proxy = Proxy::with(&[("a", "north-a"), ("b", "north-a")]);
     proxy.ask("/put/", Some("k1"));
     proxy.now = proxy.sent().expect("sent").until;
@@ -213,8 +213,8 @@
                 }
             }
         }
-        // A proxy that has just started uses one request of the burst of 40, however many proxies there are: the previous
-        // process may have spent the rest.
+        // A proxy that has just started uses one request of the burst of 40, however many proxies there are: the
+        // previous process may have spent the rest.
         assert_eq!(sent, 1, "of {nodes_known} proxies");
         proxy.ask("/get/", Some("k1"));
         assert_eq!(proxy.status(), None, "other tenants are not affected");
--- a/crates/proxy/tests/feed.rs
+++ b/crates/proxy/tests/feed.rs
@@ -56,7 +56,8 @@
     })
 }
 
-/// Gives the input every quarter of a beat until the feed connects to another registry; returns that one and the time taken.
+/// Gives the input every quarter of a beat until the feed connects to another registry; returns that one and the time
+/// taken.
 fn left_after(feed: &mut Feed, from: u64, input: impl Fn() -> Option<Input>) -> (Ipv4Addr, u64) {
     for step in 1..20 {
         let now = from + step * BEAT / 4;
@@ -196,10 +197,10 @@
     )
 }
 
-/// Guards against standings that count from their arrival. Updates were queued on a slow link, and each standing counted from
-/// when it came through, so a proxy that was seconds behind took itself for fresh and never changed its parent. Seen as late
-/// configurations and as requests to servers that were leaving, at proxies without any fault; links that deliver at once
-/// confirmed the cause.
+/// Guards against standings that count from their arrival. Updates were queued on a slow link, and each standing
+/// counted from when it came through, so a proxy that was seconds behind took itself for fresh and never changed its
+/// parent. Seen as late configurations and as requests to servers that were leaving, at proxies without any fault;
+/// links that deliver at once confirmed the cause.
 #[test]
 fn a_delayed_standing_counts_from_when_it_was_sent() {
     const THERE: u64 = 77 * SECOND;
