--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! The runtime that each program works in: its command line, settings, log and signals, the links to the other processes,
-//! and the loop that drives a state machine. No decision is made here.
+//! What all programs share: command line, settings, log, signals, links to other processes, and the loop that drives a
+//! state machine. No decisions of the programs are made here.
 
 pub mod datagram;
 pub mod event_loop;
@@ -22,20 +22,21 @@
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
 
-/// What a program is started with.
+/// The environment that a program is started with.
 pub struct Runtime {
     pub settings: Settings,
     file: Option<PathBuf>,
     signals: Option<Signals>,
-    /// Drawn for this process.
+    /// Drawn at random for this process, so that others can tell it from an earlier one.
     pub life: u64,
 }
 
-/// Sockets and memory where the settings name none.
-const SOCKETS: u64 = 1024;
-const MEMORY_MB: u64 = 128;
+/// The limit of descriptors where the settings name none.
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+/// The limit of memory where the settings name none.
+const DEFAULT_MEMORY_MB: u64 = 128;
 
-/// What a program's machine works on.
+/// The clock, the timer and the inbox on which a program's state machine runs.
 pub struct EventLoop<T> {
     pub clock: Clock,
     alarm: Alarm,
@@ -43,89 +44,89 @@
 }
 
 impl<T: Send + 'static> EventLoop<T> {
-    /// Turns the machine until it says on the other end of `ended` that all is over.
-    pub fn run(self, machine: impl StateMachine<Message = T>, ended: &Receiver<()>) -> Result<()> {
-        let work = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
-        end_with(work)?;
-        ended.recv().map_err(|_| miette!(FAULT))
+    /// Runs the machine until `finished` is signalled.
+    pub fn run(self, machine: impl StateMachine<Message = T>, finished: &Receiver<()>) -> Result<()> {
+        let main_loop = event_loop::spawn(self.clock, self.alarm, self.inbox, machine);
+        exit_with(main_loop)?;
+        finished.recv().map_err(|_| miette!(LOOP_ENDED))
     }
 }
 
-const FAULT: &str = "the work has ended by a fault";
+const LOOP_ENDED: &str = "the main loop has ended unexpectedly";
 
-/// Ends the program if its work ends by itself. It never does in order, and one that has overflowed its stack frees nothing
-/// and tells nobody: listeners would go on taking connections that nobody answers, and count as ready.
-fn end_with(work: may::coroutine::JoinHandle<()>) -> Result<()> {
+/// Exits the program if its main loop ends, which it never does in normal operation. A loop that has overflowed its stack
+/// frees nothing and tells nobody: without this, listeners would go on accepting connections that nobody answers, and the
+/// program would count as ready.
+fn exit_with(main_loop: may::coroutine::JoinHandle<()>) -> Result<()> {
     let thread = std::thread::Builder::new().name("work".into()).stack_size(64 * 1024);
     let started = thread.spawn(move || {
-        let _ = work.join();
-        log_buffer::dump(FAULT);
-        eprintln!("{FAULT}");
+        let _ = main_loop.join();
+        log_buffer::dump(LOOP_ENDED);
+        eprintln!("{LOOP_ENDED}");
         std::process::exit(1);
     });
     started.map(|_| ()).map_err(|e| miette!("cannot start a thread: {e}"))
 }
 
-/// What the platform asks of a running program.
+/// What a signal asks of a running program.
 pub enum SignalEvent {
-    /// End in order.
+    /// Shut down in order.
     Stop,
-    /// The settings file has changed; this is it as it is now.
+    /// Use these settings, which have been read again.
     Settings(Box<Settings>),
 }
 
-/// Runs a program: reads its command line and settings, and says on standard error what is wrong with them.
-pub fn run(name: &'static str, about: &'static str, work: impl FnOnce(Runtime) -> Result<()>) -> ExitCode {
-    // Before anything else: a signal that comes earlier ends the program, even the one that only says that settings have
-    // changed. What comes from here on waits until it is watched for.
+/// Runs a program: reads its command line and settings, reports errors in them on standard error, and calls `program`.
+pub fn run(name: &'static str, about: &'static str, program: impl FnOnce(Runtime) -> Result<()>) -> ExitCode {
+    // Before anything else: a signal that arrives earlier kills the program, even SIGHUP, which only says that settings have
+    // changed. Signals that arrive from here on are kept until `on_signal` is called.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]);
-    let command =
-        clap::Command::new(name)
-            .about(about)
-            .version(env!("CARGO_PKG_VERSION"))
-            .arg(
-                clap::Arg::new("settings")
-                    .long("settings")
-                    .value_name("FILE")
-                    .value_parser(clap::value_parser!(PathBuf))
-                    .help(format!(
-                        "The settings file; without it the variable {} names it",
-                        settings::settings::VARIABLE
-                    )),
-            )
-            .arg(clap::Arg::new("chatty").long("chatty").action(clap::ArgAction::SetTrue).help(
-                "Writes each line of the log at once, instead of the last ones when something goes wrong",
-            ))
-            .arg(
-                clap::Arg::new("check")
-                    .long("check")
-                    .action(clap::ArgAction::SetTrue)
-                    .help("Reads the settings, says what is wrong with them, and ends"),
-            );
-    let given = command.get_matches();
-    let file = given.get_one::<PathBuf>("settings").cloned();
-    let held = || -> Result<()> {
+    let command = clap::Command::new(name)
+        .about(about)
+        .version(env!("CARGO_PKG_VERSION"))
+        .arg(
+            clap::Arg::new("settings")
+                .long("settings")
+                .value_name("FILE")
+                .value_parser(clap::value_parser!(PathBuf))
+                .help(format!(
+                    "The settings file; by default the one that the variable {} names",
+                    settings::settings::VARIABLE
+                )),
+        )
+        .arg(clap::Arg::new("chatty").long("chatty").action(clap::ArgAction::SetTrue).help(
+            "Writes each line of the log at once, instead of the latest ones when something goes wrong",
+        ))
+        .arg(
+            clap::Arg::new("check")
+                .long("check")
+                .action(clap::ArgAction::SetTrue)
+                .help("Reads the settings, reports errors in them, and exits"),
+        );
+    let args = command.get_matches();
+    let file = args.get_one::<PathBuf>("settings").cloned();
+    let start = || -> Result<()> {
         let settings = read(file.as_ref())?;
-        if given.get_flag("check") {
+        if args.get_flag("check") {
             println!("{name}: settings of {} are good", settings.name);
             return Ok(());
         }
-        log_buffer::start(name, &settings.name, given.get_flag("chatty"))?;
+        log_buffer::start(name, &settings.name, args.get_flag("chatty"))?;
         let signals = signals.map_err(|e| miette!("cannot watch for signals: {e}"))?;
-        work(Runtime { settings, file, signals: Some(signals), life: fastrand::u64(1..) })
+        program(Runtime { settings, file, signals: Some(signals), life: fastrand::u64(1..) })
     };
-    match held() {
+    match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            log_buffer::dump(&format!("ends: {why}"));
-            eprintln!("{name}: {}", line(&why));
+            log_buffer::dump(&format!("stopped: {why}"));
+            eprintln!("{name}: {}", one_line(&why));
             ExitCode::FAILURE
         }
     }
 }
 
 /// An error and its causes in one line.
-fn line(why: &Report) -> String {
+fn one_line(why: &Report) -> String {
     why.chain().map(ToString::to_string).collect::<Vec<_>>().join(": ")
 }
 
@@ -140,20 +141,23 @@
 }
 
 impl Runtime {
-    /// Calls `told` with each signal, on a thread of its own: it reads a file, which must not hold up the work. A file
-    /// that is no good changes nothing.
-    pub fn on_signal(&mut self, told: impl Fn(SignalEvent) + Send + 'static) -> Result<()> {
+    /// Calls `handler` with each signal, on a thread of its own, because reading the settings file must not delay the main
+    /// loop. An invalid settings file changes nothing.
+    pub fn on_signal(&mut self, handler: impl Fn(SignalEvent) + Send + 'static) -> Result<()> {
         let Some(mut signals) = self.signals.take() else { return Ok(()) };
         let file = self.file.clone();
         let thread = std::thread::Builder::new().name("signals".into()).stack_size(64 * 1024);
         let started = thread.spawn(move || {
             for signal in signals.forever() {
                 if signal != SIGHUP {
-                    told(SignalEvent::Stop);
+                    handler(SignalEvent::Stop);
                 } else {
                     match read(file.as_ref()) {
-                        Ok(settings) => told(SignalEvent::Settings(Box::new(settings))),
-                        Err(why) => log::error!("new settings refused, the old ones stay: {}", line(&why)),
+                        Ok(settings) => handler(SignalEvent::Settings(Box::new(settings))),
+                        Err(why) => log::error!(
+                            "new settings rejected, the old ones stay in force: {}",
+                            one_line(&why)
+                        ),
                     }
                 }
             }
@@ -161,7 +165,7 @@
         started.map(|_| ()).map_err(|e| miette!("cannot start a thread: {e}"))
     }
 
-    /// Sets up the coroutines, the clock, and where a machine's messages go. Once in a program.
+    /// Sets up the coroutines, the clock, and the inbox of the state machine. To be called once in a program.
     pub fn event_loop<T>(&self) -> Result<EventLoop<T>> {
         net::set_up();
         let clock = Clock::start();
@@ -170,35 +174,37 @@
         Ok(EventLoop { clock, alarm, inbox })
     }
 
-    /// What listeners and pools share: so many of the descriptors that the settings grant are kept for other things.
-    pub fn room(&self, clock: Clock, kept: u64) -> Result<Arc<Room>> {
+    /// The resources that listeners and pools share. `reserved`: descriptors, of those that the settings grant, that are kept
+    /// for other uses.
+    pub fn room(&self, clock: Clock, reserved: u64) -> Result<Arc<Room>> {
         let alarms = Alarms::start(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
         let limits = &self.settings.limits;
-        let sockets = limits.descriptor_limit.unwrap_or(SOCKETS).saturating_sub(kept) as usize;
-        let memory = limits.memory_size_mb.unwrap_or(MEMORY_MB);
+        let sockets =
+            limits.descriptor_limit.unwrap_or(DEFAULT_DESCRIPTORS).saturating_sub(reserved) as usize;
+        let memory = limits.memory_size_mb.unwrap_or(DEFAULT_MEMORY_MB);
         let warn = Box::new(|what: std::fmt::Arguments| log::warn!("{what}"));
         Ok(Arc::new(Room::new(sockets, memory, clock, alarms, warn)))
     }
 
-    /// Takes links on one of this machine's internal ports: each is posted first, then what becomes of it.
+    /// Accepts links on one of this machine's internal ports. For each, `accepted` is posted first, then its events.
     pub fn listen<I, T>(
         &self,
         port: u16,
         inbox: &Inbox<T>,
-        taken: fn(LinkHandle) -> T,
-        says: fn(u64, Event<I>) -> T,
+        accepted: fn(LinkHandle) -> T,
+        event: fn(u64, Event<I>) -> T,
     ) -> Result<SocketAddr>
     where
         I: DeserializeOwned + 'static,
         T: Send + 'static,
     {
         let (addr, inbox) = (self.internal_addr(port)?, inbox.clone());
-        let listens = link::listen(addr, link::ACK_TIMEOUT, move |line, _| {
-            inbox.post(taken(line));
+        let listening = link::listen(addr, link::ACK_TIMEOUT, move |handle, _| {
+            inbox.post(accepted(handle));
             let inbox = inbox.clone();
-            move |link, event| inbox.post(says(link, event))
+            move |link, happened| inbox.post(event(link, happened))
         });
-        listens.map(|()| addr).map_err(|e| miette!("cannot listen on {addr}: {e}"))
+        listening.map(|()| addr).map_err(|e| miette!("cannot listen on {addr}: {e}"))
     }
 
     /// The address of one of this machine's internal ports.
@@ -211,7 +217,7 @@
     }
 }
 
-/// Internal ports are alike on all machines.
+/// The address of an internal port, which has the same number on all machines.
 pub fn internal_addr(settings: &Settings, ip: Ipv4Addr, port: u16) -> Result<SocketAddr> {
     let ports = &settings.internal_ports;
     let number = ports.start().checked_add(port).filter(|n| ports.contains(n));
@@ -221,10 +227,11 @@
     Ok(SocketAddr::V4(SocketAddrV4::new(ip, number)))
 }
 
+/// The IPv4 addresses of the seed nodes.
 pub fn seeds(settings: &Settings) -> Vec<Ipv4Addr> {
-    let four = |s: &SocketAddr| match s.ip() {
+    let ipv4 = |s: &SocketAddr| match s.ip() {
         IpAddr::V4(ip) => Some(ip),
         IpAddr::V6(_) => None,
     };
-    settings.seeds.iter().filter_map(four).collect()
+    settings.seeds.iter().filter_map(ipv4).collect()
 }
--- a/crates/runtime/tests/event_loop_failure.rs
+++ b/crates/runtime/tests/event_loop_failure.rs
@@ -67,7 +67,7 @@
         let output = child.wait_with_output().expect("it has ended");
         let said = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{case}: {said}");
-        assert!(said.contains("the work has ended by a fault"), "{case}: {said}");
+        assert!(said.contains("the main loop has ended unexpectedly"), "{case}: {said}");
     }
 }
 
