--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -1,7 +1,8 @@
-//! Links between curlewfront's processes: frames of postcard on TCP, four bytes of length before each.
+//! Links between curlewfront's processes: messages in postcard encoding over TCP, each in a frame with four bytes of
+//! length before it.
 //!
-//! A link is an actor with one coroutine. Nothing is sent again from here: a link that breaks loses what was on its
-//! way, and who uses it begins anew.
+//! A link is an actor with one coroutine. It never sends anything again: a link that breaks loses what was in transit,
+//! and its user starts afresh on a new one.
 
 use net::Micros;
 use net::mailbox::Mailbox;
@@ -16,71 +17,74 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// What each side says first: who it is, and the form of all messages behind it. It is counted up with each change of a
-/// message that an older program would misread.
+/// Each side first sends these bytes and the version of the messages that follow. The version is raised with each
+/// change of a message that an older program would misread.
 const MAGIC: [u8; 3] = *b"cfl";
 pub const PROTOCOL_VERSION: u8 = 2;
 const OPENING: [u8; 4] = [MAGIC[0], MAGIC[1], MAGIC[2], PROTOCOL_VERSION];
 
-/// The largest frame; and what may wait to be taken by the other side before the link is ended.
-const MOST_FRAME: usize = 8 << 20;
-const MOST_WAITING: usize = 16 << 20;
+/// The largest frame.
+const MAX_FRAME_BYTES: usize = 8 << 20;
+/// The most that may be queued for the other side before the link is closed.
+const MAX_QUEUED_BYTES: usize = 16 << 20;
+/// Connections that may wait to be accepted.
 const BACKLOG: i32 = 256;
 
-/// What was sent and not acknowledged for so long ends a link, by the usual measure.
+/// The usual time after which a link is closed if data that was sent has not been acknowledged (`TCP_USER_TIMEOUT`).
 pub const ACK_TIMEOUT: Duration = Duration::from_millis(1000);
 
-enum Told {
+/// What a link is told by its owner.
+enum Command {
     Send(Vec<u8>),
-    End,
+    Close,
 }
 
-/// What becomes of a link, as its owner is told it.
+/// What a link tells its owner.
 pub enum Event<I> {
     Up,
     Received(I),
-    /// It has ended; nothing more comes of it.
+    /// The link has closed; no further events follow.
     Down,
 }
 
-/// An owner's end of a link.
+/// An owner's end of a link. Dropping it closes the link.
 pub struct LinkHandle {
     pub number: u64,
-    inbox: Arc<Mailbox<Told>>,
+    inbox: Arc<Mailbox<Command>>,
 }
 
 impl LinkHandle {
     pub fn send<O: Serialize>(&self, message: &O) {
         match postcard::to_stdvec(message) {
-            Ok(bytes) => self.inbox.post(Told::Send(bytes)),
-            Err(e) => log::error!("a message cannot be written down: {e}"),
+            Ok(bytes) => self.inbox.post(Command::Send(bytes)),
+            Err(e) => log::error!("cannot encode a message: {e}"),
         }
     }
 }
 
 impl Drop for LinkHandle {
     fn drop(&mut self) {
-        self.inbox.post(Told::End);
+        self.inbox.post(Command::Close);
     }
 }
 
-static NUMBERS: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// Links to `addr`; `told` is called on the coroutines' thread, with the link's number.
+/// Opens a link to `addr`; `on_event` is called on the coroutines' thread, with the link's number.
 pub fn dial<I: DeserializeOwned>(
     addr: SocketAddr,
-    silence: Duration,
-    told: impl Fn(u64, Event<I>) + Send + 'static,
+    ack_timeout: Duration,
+    on_event: impl Fn(u64, Event<I>) + Send + 'static,
 ) -> io::Result<LinkHandle> {
-    let io = socket::connect(addr, Some(silence))?;
-    Ok(start(io, true, told))
+    let io = socket::connect(addr, Some(ack_timeout))?;
+    Ok(start(io, true, on_event))
 }
 
-/// Takes links on `addr`; `taken` gives for each the one that is told of it.
+/// Accepts links on `addr`; for each, `on_accept` returns the callback for its events.
 pub fn listen<I, T>(
     addr: SocketAddr,
-    silence: Duration,
-    taken: impl Fn(LinkHandle, SocketAddr) -> T + Send + 'static,
+    ack_timeout: Duration,
+    on_accept: impl Fn(LinkHandle, SocketAddr) -> T + Send + 'static,
 ) -> io::Result<()>
 where
     I: DeserializeOwned,
@@ -95,14 +99,14 @@
         loop {
             match listener.inner().accept() {
                 Ok((stream, from)) => {
-                    if let Err(e) = take(stream, from, silence, &taken) {
-                        log::warn!("cannot take a link from {from}: {e}");
+                    if let Err(e) = accept(stream, from, ack_timeout, &on_accept) {
+                        log::warn!("cannot accept a link from {from}: {e}");
                     }
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => {
                     if e.kind() != ErrorKind::WouldBlock {
-                        log::error!("cannot take links: {e}");
+                        log::error!("cannot accept links: {e}");
                     }
                     listener.wait();
                 }
@@ -112,11 +116,11 @@
     Ok(())
 }
 
-fn take<I, T>(
+fn accept<I, T>(
     stream: TcpStream,
     from: SocketAddr,
-    silence: Duration,
-    taken: &impl Fn(LinkHandle, SocketAddr) -> T,
+    ack_timeout: Duration,
+    on_accept: &impl Fn(LinkHandle, SocketAddr) -> T,
 ) -> io::Result<()>
 where
     I: DeserializeOwned,
@@ -125,110 +129,110 @@
     stream.set_nonblocking(true)?;
     stream.set_nodelay(true)?;
     let socket = Socket::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
+    socket.set_tcp_user_timeout(Some(ack_timeout))?;
     let io = Watched::new(TcpStream::from(socket))?;
-    // The owner's end must exist before the link says anything: both begin with the same mailbox.
+    // The owner must have its end before the link reports anything, so both start with the same mailbox.
     let inbox = Arc::new(Mailbox::new(io.bell()));
-    let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
-    let told = taken(LinkHandle { number, inbox: inbox.clone() }, from);
-    go(io, number, inbox, false, told);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let on_event = on_accept(LinkHandle { number, inbox: inbox.clone() }, from);
+    spawn(io, number, inbox, false, on_event);
     Ok(())
 }
 
 fn start<I: DeserializeOwned>(
     io: Watched<TcpStream>,
     dialing: bool,
-    told: impl Fn(u64, Event<I>) + Send + 'static,
+    on_event: impl Fn(u64, Event<I>) + Send + 'static,
 ) -> LinkHandle {
     let inbox = Arc::new(Mailbox::new(io.bell()));
-    let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
-    go(io, number, inbox.clone(), dialing, told);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    spawn(io, number, inbox.clone(), dialing, on_event);
     LinkHandle { number, inbox }
 }
 
-fn go<I: DeserializeOwned>(
+fn spawn<I: DeserializeOwned>(
     io: Watched<TcpStream>,
     number: u64,
-    inbox: Arc<Mailbox<Told>>,
+    inbox: Arc<Mailbox<Command>>,
     dialing: bool,
-    told: impl Fn(u64, Event<I>) + Send + 'static,
+    on_event: impl Fn(u64, Event<I>) + Send + 'static,
 ) {
     let (incoming, mut outgoing) = (Ring::default(), Outgoing::default());
     outgoing.push(&OPENING);
-    let mut link = Link { io, inbox, dialing, opened: false, incoming, outgoing };
+    let mut link = Link { io, inbox, dialing, opening_checked: false, incoming, outgoing };
     may::go!(move || {
         if !dialing {
-            told(number, Event::Up);
+            on_event(number, Event::Up);
         }
-        if let Err(why) = link.run(&|event| told(number, event)) {
-            match why.contains(OTHER_FORM) {
+        if let Err(why) = link.run(&|event| on_event(number, event)) {
+            match why.contains(OTHER_VERSION) {
                 true => log::error!("link {number}: {why}"),
                 false => log::info!("link {number}: {why}"),
             }
         }
-        told(number, Event::Down);
+        on_event(number, Event::Down);
     });
 }
 
 struct Link {
     io: Watched<TcpStream>,
-    inbox: Arc<Mailbox<Told>>,
+    inbox: Arc<Mailbox<Command>>,
     dialing: bool,
-    /// What the other side says first has come.
-    opened: bool,
+    /// The other side's opening has arrived and is accepted.
+    opening_checked: bool,
     incoming: Ring,
     outgoing: Outgoing,
 }
 
 impl Link {
-    /// Carries frames until the link ends; Ok: because its owner wants no more of it.
-    fn run<I: DeserializeOwned>(&mut self, told: &impl Fn(Event<I>)) -> Result<(), String> {
-        let mut seen = if self.dialing { 0 } else { events::READABLE };
+    /// Carries frames until the link closes. Ok: its owner has closed it.
+    fn run<I: DeserializeOwned>(&mut self, on_event: &impl Fn(Event<I>)) -> Result<(), String> {
+        let mut ready_events = if self.dialing { 0 } else { events::READABLE };
         loop {
             while let Some(message) = self.inbox.pop() {
                 match message {
-                    Told::Send(bytes) => {
+                    Command::Send(bytes) => {
                         self.outgoing.push(&(bytes.len() as u32).to_be_bytes());
                         self.outgoing.push(&bytes);
                     }
-                    Told::End => {
+                    Command::Close => {
                         let _ = self.outgoing.flush(self.io.inner());
                         return Ok(());
                     }
                 }
             }
-            if self.outgoing.len() > MOST_WAITING {
-                return Err("the other side does not take what is sent".into());
+            if self.outgoing.len() > MAX_QUEUED_BYTES {
+                return Err("the other side does not read what is sent".into());
             }
             if self.dialing {
                 if let Some(e) = self.io.inner().take_error().map_err(|e| e.to_string())? {
                     return Err(e.to_string());
                 }
-                if seen & events::ENDED != 0 {
-                    return Err("not taken".into());
+                if ready_events & events::ENDED != 0 {
+                    return Err("the connection attempt failed".into());
                 }
-                if seen & events::WRITABLE != 0 {
+                if ready_events & events::WRITABLE != 0 {
                     self.dialing = false;
-                    told(Event::Up);
+                    on_event(Event::Up);
                 }
             }
             if !self.dialing {
-                if seen & (events::READABLE | events::ENDED) != 0 {
-                    self.read(told)?;
+                if ready_events & (events::READABLE | events::ENDED) != 0 {
+                    self.read(on_event)?;
                 }
                 self.outgoing.flush(self.io.inner()).map_err(|e| e.to_string())?;
             }
-            seen = self.io.wait();
+            ready_events = self.io.wait();
         }
     }
 
-    fn read<I: DeserializeOwned>(&mut self, told: &impl Fn(Event<I>)) -> Result<(), String> {
+    fn read<I: DeserializeOwned>(&mut self, on_event: &impl Fn(Event<I>)) -> Result<(), String> {
         loop {
             let mut socket = self.io.inner();
-            match self.incoming.fill(MOST_FRAME + 4, |room| socket.read(room)) {
-                Ok(None) => return Err("a frame without end".into()),
-                Ok(Some(filled)) if filled.bytes == 0 => return Err("ended by the other side".into()),
-                Ok(Some(_)) => self.digest(told)?,
+            match self.incoming.fill(MAX_FRAME_BYTES + 4, |room| socket.read(room)) {
+                Ok(None) => return Err("a frame larger than the buffer".into()),
+                Ok(Some(filled)) if filled.bytes == 0 => return Err("closed by the other side".into()),
+                Ok(Some(_)) => self.process_frames(on_event)?,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e.to_string()),
@@ -236,64 +240,69 @@
         }
     }
 
-    fn digest<I: DeserializeOwned>(&mut self, told: &impl Fn(Event<I>)) -> Result<(), String> {
+    fn process_frames<I: DeserializeOwned>(&mut self, on_event: &impl Fn(Event<I>)) -> Result<(), String> {
         loop {
             let bytes = self.incoming.bytes();
             let Some(length) = bytes.first_chunk::<4>() else { return Ok(()) };
-            if !self.opened {
+            if !self.opening_checked {
                 check_opening(*length)?;
-                self.opened = true;
+                self.opening_checked = true;
                 self.incoming.consume(4);
                 continue;
             }
             let length = u32::from_be_bytes(*length) as usize;
-            if length > MOST_FRAME {
-                return Err(format!("a frame of {length} bytes"));
+            if length > MAX_FRAME_BYTES {
+                return Err(format!("a frame of {length} bytes is too large"));
             }
             let Some(frame) = bytes.get(4..4 + length) else { return Ok(()) };
-            let message = postcard::from_bytes(frame).map_err(|e| format!("a frame that is none: {e}"))?;
+            let message = postcard::from_bytes(frame).map_err(|e| format!("a malformed frame: {e}"))?;
             self.incoming.consume(4 + length);
-            told(Event::Received(message));
+            on_event(Event::Received(message));
         }
     }
 }
 
-const OTHER_FORM: &str = "speaks form";
+/// Marks the errors that say that the other side runs another version.
+const OTHER_VERSION: &str = "speaks protocol version";
 
-/// Whether the other side speaks as this one does.
-pub fn check_opening(said: [u8; 4]) -> Result<(), String> {
-    match said {
+/// Checks that the other side sends messages of the same version.
+pub fn check_opening(opening: [u8; 4]) -> Result<(), String> {
+    match opening {
         OPENING => Ok(()),
-        [a, b, c, form] if [a, b, c] == MAGIC => Err(format!(
-            "the other side {OTHER_FORM} {form}, this program form {PROTOCOL_VERSION}: run one program everywhere"
+        [a, b, c, version] if [a, b, c] == MAGIC => Err(format!(
+            "the other side {OTHER_VERSION} {version}, this program version {PROTOCOL_VERSION}: \
+             run the same release everywhere"
         )),
         _ => Err(format!(
-            "the other side {OTHER_FORM} 1 or is no program of curlewfront, this program form {PROTOCOL_VERSION}"
+            "the other side {OTHER_VERSION} 1 or is no program of curlewfront, \
+             this program version {PROTOCOL_VERSION}"
         )),
     }
 }
 
-/// How long until a link that broke is tried again.
-const AGAIN_US: Micros = 200_000;
+/// The delay before a link that broke is opened again.
+const RECONNECT_DELAY_US: Micros = 200_000;
 
-/// When a link is to be opened, and whether it is up.
+/// Tracks when a link is to be opened, and whether it is up.
 #[derive(Default)]
 pub struct ReconnectState {
+    /// An attempt has begun, or the link is up.
     open: bool,
     up: bool,
-    again_at: Micros,
+    retry_at: Micros,
 }
 
 impl ReconnectState {
-    /// Whether it is to be opened now.
+    /// Whether the link is to be opened now.
     pub fn due(&mut self, now: Micros) -> bool {
-        let due = !self.open && now >= self.again_at;
+        let due = !self.open && now >= self.retry_at;
         if due {
-            self.again_at = now + AGAIN_US;
+            self.retry_at = now + RECONNECT_DELAY_US;
         }
         due
     }
 
+    /// An attempt to open the link has begun.
     pub fn on_dialed(&mut self) {
         self.open = true;
     }
@@ -303,100 +312,100 @@
     }
 
     pub fn on_down(&mut self, now: Micros) {
-        (self.open, self.up, self.again_at) = (false, false, now + AGAIN_US);
+        (self.open, self.up, self.retry_at) = (false, false, now + RECONNECT_DELAY_US);
     }
 
-    /// The other side has linked to here, so it is there: whether what was sent before may have gone to a machine
-    /// that was dark, and be waited for in vain.
+    /// The other side has opened a link to here, so it is running. True: an attempt that is pending may have been sent
+    /// while that machine was down and wait in vain, so it is to be abandoned and begun again.
     pub fn on_peer_connected(&mut self, now: Micros) -> bool {
-        let vain = !self.up;
-        if vain {
-            (self.open, self.again_at) = (false, now);
+        let abandon = !self.up;
+        if abandon {
+            (self.open, self.retry_at) = (false, now);
         }
-        vain
+        abandon
     }
 
-    /// When it wants to be tended.
+    /// When `due` is to be asked again.
     pub fn wake_at(&self) -> Micros {
-        if self.open { Micros::MAX } else { self.again_at }
+        if self.open { Micros::MAX } else { self.retry_at }
     }
 }
 
 /// A link that is opened again whenever it breaks.
 pub struct ReconnectingLink {
     addr: SocketAddr,
-    line: Option<LinkHandle>,
-    attempts: ReconnectState,
+    handle: Option<LinkHandle>,
+    state: ReconnectState,
 }
 
 impl ReconnectingLink {
     pub fn new(addr: SocketAddr) -> ReconnectingLink {
-        ReconnectingLink { addr, line: None, attempts: ReconnectState::default() }
+        ReconnectingLink { addr, handle: None, state: ReconnectState::default() }
     }
 
-    /// Opens it, if it is not open and the time has come.
+    /// Opens the link if it is not open and an attempt is due.
     pub fn maintain<I: DeserializeOwned>(
         &mut self,
         now: Micros,
-        silence: Duration,
-        told: impl Fn(u64, Event<I>) + Send + 'static,
+        ack_timeout: Duration,
+        on_event: impl Fn(u64, Event<I>) + Send + 'static,
     ) {
-        if !self.attempts.due(now) {
+        if !self.state.due(now) {
             return;
         }
-        match dial(self.addr, silence, told) {
-            Ok(line) => {
-                self.line = Some(line);
-                self.attempts.on_dialed();
+        match dial(self.addr, ack_timeout, on_event) {
+            Ok(handle) => {
+                self.handle = Some(handle);
+                self.state.on_dialed();
             }
-            Err(e) => log::info!("cannot link to {}: {e}", self.addr),
+            Err(e) => log::info!("cannot connect to {}: {e}", self.addr),
         }
     }
 
-    fn is(&self, link: u64) -> bool {
-        self.line.as_ref().is_some_and(|l| l.number == link)
+    fn is_current(&self, link: u64) -> bool {
+        self.handle.as_ref().is_some_and(|h| h.number == link)
     }
 
-    /// The link of this number is up: whether it is still the one that is wanted.
+    /// The link of this number is up. False: it is not the current one.
     pub fn on_up(&mut self, link: u64) -> bool {
-        let mine = self.is(link);
-        if mine {
-            self.attempts.on_up();
+        let current = self.is_current(link);
+        if current {
+            self.state.on_up();
         }
-        mine
+        current
     }
 
-    /// The link of this number has ended: whether it was the one in use.
+    /// The link of this number has closed. False: it is not the current one.
     pub fn on_down(&mut self, now: Micros, link: u64) -> bool {
-        let mine = self.is(link);
-        if mine {
-            self.line = None;
-            self.attempts.on_down(now);
+        let current = self.is_current(link);
+        if current {
+            self.handle = None;
+            self.state.on_down(now);
         }
-        mine
+        current
     }
 
-    /// The other side has linked to here.
+    /// The other side has opened a link to here.
     pub fn on_peer_connected(&mut self, now: Micros) {
-        if self.attempts.on_peer_connected(now) {
-            self.line = None;
+        if self.state.on_peer_connected(now) {
+            self.handle = None;
         }
     }
 
-    /// What comes by this link counts.
+    /// Whether the link of this number is the current one and is up, so that its messages count.
     pub fn is_up(&self, link: u64) -> bool {
-        self.attempts.up && self.is(link)
+        self.state.up && self.is_current(link)
     }
 
-    /// Sent if the link is up; else it is lost, as it might be under way.
+    /// Sends the message if the link is up; otherwise it is lost, as it might be in transit.
     pub fn send<O: Serialize>(&self, message: &O) {
-        if let Some(line) = self.line.as_ref().filter(|_| self.attempts.up) {
-            line.send(message);
+        if let Some(handle) = self.handle.as_ref().filter(|_| self.state.up) {
+            handle.send(message);
         }
     }
 
-    /// When it wants to be tended.
+    /// When `maintain` is to be called again.
     pub fn wake_at(&self) -> Micros {
-        self.attempts.wake_at()
+        self.state.wake_at()
     }
 }
--- a/crates/runtime/tests/link.rs
+++ b/crates/runtime/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links of programs that speak in another form: refused by name on both sides, before anything is read.
+//! Links to programs of another protocol version are refused with a clear error, before any message is read.
 
 use runtime::link::{self, Event, PROTOCOL_VERSION, check_opening};
 use std::io::{Read, Write};
@@ -6,67 +6,67 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// A bound that only a hang reaches.
+/// Only a test that hangs reaches this limit.
 const HANG: Duration = Duration::from_secs(30);
 
 #[derive(Debug, PartialEq)]
-enum Told {
+enum Seen {
     Up,
-    Got(u32),
+    Received(u32),
     Down,
 }
 
-/// A link to a stand-in, which has heard the opening.
-fn linked() -> (TcpStream, [u8; 4], Receiver<Told>, link::LinkHandle) {
+/// A link to a stub, which has read the opening.
+fn connect() -> (TcpStream, [u8; 4], Receiver<Seen>, link::LinkHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (tell, told) = channel();
-    let line = link::dial(listener.local_addr().expect("bound"), HANG, move |_, event: Event<u32>| {
-        let _ = tell.send(match event {
-            Event::Up => Told::Up,
-            Event::Received(n) => Told::Got(n),
-            Event::Down => Told::Down,
+    let (sender, events) = channel();
+    let handle = link::dial(listener.local_addr().expect("bound"), HANG, move |_, event: Event<u32>| {
+        let _ = sender.send(match event {
+            Event::Up => Seen::Up,
+            Event::Received(n) => Seen::Received(n),
+            Event::Down => Seen::Down,
         });
     });
-    let (mut stream, _) = listener.accept().expect("called");
+    let (mut stream, _) = listener.accept().expect("connected");
     stream.set_read_timeout(Some(HANG)).expect("set");
     let mut opening = [0; 4];
-    stream.read_exact(&mut opening).expect("it speaks first");
-    assert_eq!(told.recv_timeout(HANG), Ok(Told::Up));
-    (stream, opening, told, line.expect("a link"))
+    stream.read_exact(&mut opening).expect("an opening");
+    assert_eq!(events.recv_timeout(HANG), Ok(Seen::Up));
+    (stream, opening, events, handle.expect("a link"))
 }
 
-/// 5, framed.
+/// The message 5 in its frame.
 const FIVE: [u8; 5] = [0, 0, 0, 1, 5];
 
 #[test]
-fn frames_count_only_behind_an_opening_of_this_form() {
-    let (mut stream, opening, told, line) = linked();
+fn frames_count_only_after_an_opening_of_this_version() {
+    let (mut stream, opening, events, handle) = connect();
     assert_eq!((&opening[..3], opening[3]), (&b"cfl"[..], PROTOCOL_VERSION));
-    // In pieces, as the net may bring it.
-    stream.write_all(&opening[..2]).expect("taken");
-    stream.write_all(&[&opening[2..], &FIVE, &FIVE].concat()).expect("taken");
-    assert_eq!(told.recv_timeout(HANG), Ok(Told::Got(5)));
-    assert_eq!(told.recv_timeout(HANG), Ok(Told::Got(5)));
-    drop((stream, line));
-    assert_eq!(told.recv_timeout(HANG), Ok(Told::Down));
+    // In pieces, as the network may deliver it.
+    stream.write_all(&opening[..2]).expect("written");
+    stream.write_all(&[&opening[2..], &FIVE, &FIVE].concat()).expect("written");
+    assert_eq!(events.recv_timeout(HANG), Ok(Seen::Received(5)));
+    assert_eq!(events.recv_timeout(HANG), Ok(Seen::Received(5)));
+    drop((stream, handle));
+    assert_eq!(events.recv_timeout(HANG), Ok(Seen::Down));
 
-    // A program before forms were told begins with a frame; a later one with its own form.
+    // A program from before there were versions begins with a frame, a later one with its own version.
     let later = [opening[0], opening[1], opening[2], PROTOCOL_VERSION + 1];
-    for said in [&FIVE[..], &[&later[..], &FIVE].concat()] {
-        let (mut stream, _, told, _line) = linked();
-        stream.write_all(said).expect("taken");
-        assert_eq!(told.recv_timeout(HANG), Ok(Told::Down), "nothing of it is taken in");
+    for bytes in [&FIVE[..], &[&later[..], &FIVE].concat()] {
+        let (mut stream, _, events, _handle) = connect();
+        stream.write_all(bytes).expect("written");
+        assert_eq!(events.recv_timeout(HANG), Ok(Seen::Down), "no message of it is accepted");
     }
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_both_versions() {
     assert_eq!(check_opening([b'c', b'f', b'l', PROTOCOL_VERSION]), Ok(()));
     let later = check_opening([b'c', b'f', b'l', 77]).expect_err("refused");
     assert!(
-        later.contains("form 77") && later.contains(&format!("this program form {PROTOCOL_VERSION}")),
+        later.contains("version 77") && later.contains(&format!("this program version {PROTOCOL_VERSION}")),
         "{later}"
     );
     let earlier = check_opening([0, 0, 0, 1]).expect_err("refused");
-    assert!(earlier.contains("form 1 or is no program of curlewfront"), "{earlier}");
+    assert!(earlier.contains("version 1 or is no program of curlewfront"), "{earlier}");
 }
