--- a/crates/runtime/tests/reconnect.rs
+++ b/crates/runtime/tests/reconnect.rs
@@ -1,22 +1,25 @@
-//! When a link to another process is opened.
+//! When a link to another process is opened again.
 
 use runtime::link::ReconnectState;
 
 const SECOND: u64 = 1_000_000;
 
-/// Whatever is sent to a machine that is dark is lost without a word, so an attempt hangs though the machine is there
-/// by now.
+/// What is sent to a machine that is down is lost without an error, so an attempt may hang though the machine is
+/// running by now.
 #[test]
-fn who_has_linked_to_here_is_linked_to_at_once_though_an_attempt_hangs() {
-    let mut attempts = ReconnectState::default();
-    assert!(attempts.due(SECOND));
-    attempts.on_dialed();
-    assert!(!attempts.due(2 * SECOND), "it hangs");
-    assert!(attempts.on_peer_connected(2 * SECOND));
-    assert!(attempts.wake_at() <= 2 * SECOND && attempts.due(2 * SECOND), "once more at once");
-    attempts.on_dialed();
-    attempts.on_up();
-    assert!(!attempts.on_peer_connected(3 * SECOND) && !attempts.due(3 * SECOND), "what is up stays up");
-    attempts.on_down(3 * SECOND);
-    assert!(!attempts.due(3 * SECOND) && attempts.due(attempts.wake_at()), "what broke waits a little");
+fn a_machine_that_connects_here_is_connected_to_at_once_though_an_attempt_hangs() {
+    let mut state = ReconnectState::default();
+    assert!(state.due(SECOND));
+    state.on_dialed();
+    assert!(!state.due(2 * SECOND), "it hangs");
+    assert!(state.on_peer_connected(2 * SECOND));
+    assert!(state.wake_at() <= 2 * SECOND && state.due(2 * SECOND), "tried again at once");
+    state.on_dialed();
+    state.on_up();
+    assert!(!state.on_peer_connected(3 * SECOND) && !state.due(3 * SECOND), "a link that is up stays up");
+    state.on_down(3 * SECOND);
+    assert!(
+        !state.due(3 * SECOND) && state.due(state.wake_at()),
+        "a link that broke is opened again after a delay"
+    );
 }
