--- a/crates/runtime/tests/event_loop_failure.rs
+++ b/crates/runtime/tests/event_loop_failure.rs
@@ -1,4 +1,5 @@
-//! A program whose work has ended by a fault ends too. Each case is a process of its own: this test starts itself again.
+//! A program whose main loop fails must exit. Each case is a process of its own, for which this test starts itself
+//! again.
 
 use runtime::event_loop::StateMachine;
 use runtime::{Runtime, run};
@@ -6,20 +7,20 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// Names the case that this process is to play.
+/// Names the case that this process is to run.
 const CASE: &str = "CURLEWFRONT_TEST_CASE";
 
-/// Only a hang takes so long.
-const HANGS: Duration = Duration::from_secs(20);
+/// Only a program that hangs takes this long.
+const HANG: Duration = Duration::from_secs(20);
 
 struct Faulty {
     overflows: bool,
 }
 
-/// Each call takes a page of the stack, and none is the last.
-fn deeper(depth: u64) -> u64 {
+/// Overflows the stack: each call takes a page of it, and the recursion never ends.
+fn recurse(depth: u64) -> u64 {
     let page = std::hint::black_box([depth; 512]);
-    if std::hint::black_box(true) { deeper(depth + 1) + page[(depth % 512) as usize] } else { page[0] }
+    if std::hint::black_box(true) { recurse(depth + 1) + page[(depth % 512) as usize] } else { page[0] }
 }
 
 impl StateMachine for Faulty {
@@ -27,9 +28,9 @@
 
     fn handle(&mut self, _now: u64, _told: Option<()>) {
         if self.overflows {
-            std::hint::black_box(deeper(0));
+            std::hint::black_box(recurse(0));
         }
-        panic!("a fault of the work");
+        panic!("a failure of the main loop");
     }
 
     fn wake_at(&mut self) -> u64 {
@@ -37,46 +38,48 @@
     }
 }
 
-fn play(case: &str) -> ExitCode {
+fn run_case(case: &str) -> ExitCode {
     let overflows = case == "overflow";
-    run("faulty", "a program that fails", move |start: Runtime| {
-        let stage = start.event_loop::<()>()?;
-        // As where the work lies somewhere that is never cleaned up: the end of the channel says nothing.
-        let (over, ended) = channel();
-        std::mem::forget(over);
-        stage.run(Faulty { overflows }, &ended)
+    run("faulty", "a program that fails", move |runtime: Runtime| {
+        let event_loop = runtime.event_loop::<()>()?;
+        // A stack that has overflowed is never cleaned up, so the sender is never dropped and the channel tells
+        // nothing.
+        let (sender, finished) = channel();
+        std::mem::forget(sender);
+        event_loop.run(Faulty { overflows }, &finished)
     })
 }
 
-/// Seen in a soak with programs built for debugging: proxies that were asked to end overflowed the stack of their work. What
-/// was left of them still took connections, counted as ready, and answered nothing until it was killed (160 requests cut off,
-/// 11 of 16 proxies ready 4 s after SIGTERM). Cause: nobody looked whether the work goes on.
-fn a_program_ends_with_its_work(settings: &std::path::Path) {
+/// Guards against programs that outlive their main loop, which nothing checked. In a soak with debug builds, proxies
+/// that were asked to stop overflowed the stack of their main loop; the rest of the process still accepted connections,
+/// counted as ready, and answered nothing until it was killed (160 requests cut off, 11 of 16 proxies ready 4 s after
+/// SIGTERM).
+fn a_program_ends_with_its_main_loop(settings: &std::path::Path) {
     for case in ["panic", "overflow"] {
         let mut command = Command::new(std::env::current_exe().expect("this test"));
         let command = command.env(CASE, case).arg("--settings").arg(settings);
         let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
-        let until = Instant::now() + HANGS;
+        let until = Instant::now() + HANG;
         while child.try_wait().expect("a child").is_none() {
             if Instant::now() > until {
                 let _ = child.kill();
-                panic!("{case}: it goes on without its work");
+                panic!("{case}: it goes on without its main loop");
             }
             std::thread::sleep(Duration::from_millis(20));
         }
         let output = child.wait_with_output().expect("it has ended");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(1), "{case}: {said}");
-        assert!(said.contains("the main loop has ended unexpectedly"), "{case}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(1), "{case}: {stderr}");
+        assert!(stderr.contains("the main loop has ended unexpectedly"), "{case}: {stderr}");
     }
 }
 
 fn main() -> ExitCode {
     if let Ok(case) = std::env::var(CASE) {
-        return play(&case);
+        return run_case(&case);
     }
     if std::env::args().any(|a| a == "--list") {
-        println!("a_program_ends_with_its_work: test");
+        println!("a_program_ends_with_its_main_loop: test");
         return ExitCode::SUCCESS;
     }
     let zones = [("a".to_string(), "north".to_string())];
@@ -84,7 +87,7 @@
     let part = &scheme.parts(true).expect("settings")[0];
     let settings = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("work-settings.json");
     std::fs::write(&settings, &part.settings).expect("written");
-    a_program_ends_with_its_work(&settings);
+    a_program_ends_with_its_main_loop(&settings);
     println!("test result: ok. 1 passed; 0 failed; 0 ignored; 0 measured; 0 filtered out");
     ExitCode::SUCCESS
 }
