--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -408,14 +408,14 @@
                     }
                 }
                 feed::Output::SendUp(link, up) => {
-                    if let Some(line) = self.parents.get(&link) {
-                        line.send(&up);
+                    if let Some(handle) = self.parents.get(&link) {
+                        handle.send(&up);
                     }
                     self.send_heartbeat(now, true);
                 }
                 feed::Output::SendDown(link, down) => {
-                    if let Some(line) = self.followers.get(&link) {
-                        line.send(&down);
+                    if let Some(handle) = self.followers.get(&link) {
+                        handle.send(&down);
                     }
                 }
                 feed::Output::DropFollower(link) => {
@@ -464,8 +464,8 @@
         );
         let (inbox, addr) = (self.inbox.clone(), SocketAddr::from((ip, port)));
         match link::dial(addr, ACK_TIMEOUT, move |_, event| inbox.post(Message::Parent(link, event))) {
-            Ok(line) => {
-                self.parents.insert(link, line);
+            Ok(handle) => {
+                self.parents.insert(link, handle);
             }
             Err(e) => {
                 log::info!("cannot connect to {addr}: {e}");
@@ -536,8 +536,8 @@
                 };
                 self.run_feed(now, input);
             }
-            Some(Message::FollowerConnected(line)) => {
-                self.followers.insert(line.number, line);
+            Some(Message::FollowerConnected(handle)) => {
+                self.followers.insert(handle.number, handle);
             }
             Some(Message::Follower(link, Event::Received(up))) => {
                 self.run_feed(now, feed::Input::FromFollower(link, up))
--- a/crates/runtime/src/datagram.rs
+++ b/crates/runtime/src/datagram.rs
@@ -37,7 +37,8 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     io.wait();
                 }
-                // For example the report that an earlier datagram reached no listener; that is the other side's problem.
+                // For example the report that an earlier datagram reached no listener; that is the other side's
+                // problem.
                 Err(_) => {}
             }
         }
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop that drives a state machine: it hands in messages, and calls the machine when a time that it asked for has come.
+//! The loop that drives a state machine: it hands in messages, and calls the machine when a time that it asked for has
+//! come.
 
 use may::coroutine::JoinHandle;
 use net::Micros;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -54,9 +54,9 @@
 
 const LOOP_ENDED: &str = "the main loop has ended unexpectedly";
 
-/// Exits the program if its main loop ends, which it never does in normal operation. A loop that has overflowed its stack
-/// frees nothing and tells nobody: without this, listeners would go on accepting connections that nobody answers, and the
-/// program would count as ready.
+/// Exits the program if its main loop ends, which it never does in normal operation. A loop that has overflowed its
+/// stack frees nothing and tells nobody: without this, listeners would go on accepting connections that nobody answers,
+/// and the program would count as ready.
 fn exit_with(main_loop: may::coroutine::JoinHandle<()>) -> Result<()> {
     let thread = std::thread::Builder::new().name("work".into()).stack_size(64 * 1024);
     let started = thread.spawn(move || {
@@ -78,8 +78,8 @@
 
 /// Runs a program: reads its command line and settings, reports errors in them on standard error, and calls `program`.
 pub fn run(name: &'static str, about: &'static str, program: impl FnOnce(Runtime) -> Result<()>) -> ExitCode {
-    // Before anything else: a signal that arrives earlier kills the program, even SIGHUP, which only says that settings have
-    // changed. Signals that arrive from here on are kept until `on_signal` is called.
+    // Before anything else: a signal that arrives earlier kills the program, even SIGHUP, which only says that settings
+    // have changed. Signals that arrive from here on are kept until `on_signal` is called.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]);
     let command = clap::Command::new(name)
         .about(about)
@@ -141,8 +141,8 @@
 }
 
 impl Runtime {
-    /// Calls `handler` with each signal, on a thread of its own, because reading the settings file must not delay the main
-    /// loop. An invalid settings file changes nothing.
+    /// Calls `handler` with each signal, on a thread of its own, because reading the settings file must not delay the
+    /// main loop. An invalid settings file changes nothing.
     pub fn on_signal(&mut self, handler: impl Fn(SignalEvent) + Send + 'static) -> Result<()> {
         let Some(mut signals) = self.signals.take() else { return Ok(()) };
         let file = self.file.clone();
@@ -174,8 +174,8 @@
         Ok(EventLoop { clock, alarm, inbox })
     }
 
-    /// The resources that listeners and pools share. `reserved`: descriptors, of those that the settings grant, that are kept
-    /// for other uses.
+    /// The resources that listeners and pools share. `reserved`: descriptors, of those that the settings grant, that
+    /// are kept for other uses.
     pub fn room(&self, clock: Clock, reserved: u64) -> Result<Arc<Room>> {
         let alarms = Alarms::start(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
         let limits = &self.settings.limits;
