--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -966,7 +966,7 @@
 /// Applies a drill's fault to a server's complete answer. The request has run, so no answer here may promise that it
 /// has not.
 fn answer_with_fault(
-    late: &mut BTreeMap<(Micros, u64), Answer>,
+    delayed: &mut BTreeMap<(Micros, u64), Answer>,
     (id, now, until): (u64, Micros, Micros),
     fault: Fault,
     answer: Answer,
@@ -976,9 +976,9 @@
         Fault::Late { ms } => {
             let at = now + Micros::from(ms) * 1000;
             if at < until {
-                late.insert((at, id), answer);
+                delayed.insert((at, id), answer);
             } else {
-                late.insert((until.max(now), id), Answer::text(504, "no whole answer"));
+                delayed.insert((until.max(now), id), Answer::text(504, "no whole answer"));
             }
         }
         Fault::Slow { ms } => out.push(Output::Slow(id, answer, Micros::from(ms) * 1000)),
--- a/crates/proxy/src/failure_detector.rs
+++ b/crates/proxy/src/failure_detector.rs
@@ -60,9 +60,9 @@
         self.known = here().map(|n| n.ip).collect();
         self.watchers = watchers(nodes, &self.node);
         let (me, now) = (self.node.ip, self.now);
-        let mine = here().filter(|n| n.ip != me && watchers(nodes, n).contains(&me)).map(|n| n.ip);
+        let watched_by_me = here().filter(|n| n.ip != me && watchers(nodes, n).contains(&me)).map(|n| n.ip);
         let mut before = std::mem::take(&mut self.watched);
-        self.watched = mine
+        self.watched = watched_by_me
             .map(|ip| (ip, before.remove(&ip).unwrap_or(LastHeartbeat { at: now, life: 0, count: 0 })))
             .collect();
     }
@@ -73,18 +73,18 @@
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
         if gap > 2 * self.period_us {
-            for heard in self.watched.values_mut() {
-                heard.at += gap;
+            for last in self.watched.values_mut() {
+                last.at += gap;
             }
         }
     }
 
     pub fn heartbeat_received(&mut self, now: Micros, from: Ipv4Addr, here: Here) {
         self.advance(now);
-        if let Some(heard) = self.watched.get_mut(&from)
-            && (heard.life != here.life || heard.count < here.count)
+        if let Some(last) = self.watched.get_mut(&from)
+            && (last.life != here.life || last.count < here.count)
         {
-            *heard = LastHeartbeat { at: self.now, life: here.life, count: here.count };
+            *last = LastHeartbeat { at: self.now, life: here.life, count: here.count };
         }
     }
 
@@ -104,7 +104,7 @@
     /// The watched proxies whose heartbeats have stopped, and the last life that was heard of each; 0: none.
     pub fn suspects(&self) -> Vec<(Ipv4Addr, u64)> {
         let limit_us = MISSED_HEARTBEATS * self.period_us + self.period_us / 2;
-        let silent = self.watched.iter().filter(|(_, heard)| self.now > heard.at + limit_us);
-        silent.map(|(ip, heard)| (*ip, heard.life)).collect()
+        let silent = self.watched.iter().filter(|(_, last)| self.now > last.at + limit_us);
+        silent.map(|(ip, last)| (*ip, last.life)).collect()
     }
 }
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -392,13 +392,13 @@
             // While there is a candidate, updates arrive twice; the copy applies each only once.
             Down::News(news) => out.push(Output::News(news)),
             Down::Standing(standing) => self.on_standing(link, standing, copy, out),
-            Down::Meter(readings, said) => {
-                let Some(made_at) = self.made_at(link, said, PeerClock::earliest) else { return };
+            Down::Meter(readings, age) => {
+                let Some(made_at) = self.made_at(link, age, PeerClock::earliest) else { return };
                 self.forward_down(Down::Meter(readings.clone(), Age::again(now, made_at)), out);
                 out.push(Output::Meter(readings, made_at));
             }
-            Down::Leases(leases, said) => {
-                let Some(made_at) = self.made_at(link, said, PeerClock::latest) else { return };
+            Down::Leases(leases, age) => {
+                let Some(made_at) = self.made_at(link, age, PeerClock::latest) else { return };
                 self.forward_down(Down::Leases(leases.clone(), Age::again(now, made_at)), out);
                 out.push(Output::Leases(leases, made_at));
             }
@@ -409,12 +409,12 @@
     fn made_at(
         &self,
         link: u64,
-        said: Option<Age>,
+        age: Option<Age>,
         to_local: impl Fn(PeerClock, Micros) -> Micros,
     ) -> Option<Micros> {
         let parent = self.parent.as_ref().filter(|p| p.link == link)?;
         let made_at =
-            said.zip(parent.clock).map(|(said, clock)| to_local(clock, said.at).saturating_sub(said.age_us));
+            age.zip(parent.clock).map(|(age, clock)| to_local(clock, age.at).saturating_sub(age.age_us));
         Some(made_at.map_or(self.now, |at| at.min(self.now)))
     }
 
