--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -6,9 +6,9 @@
 use consensus::{Saved, Write};
 use miette::{Result, miette};
 use net::Micros;
-use runtime::link::{Event, Line, SILENCE, Tie};
-use runtime::turn::{Inbox, Machine};
-use runtime::{Asked, Start};
+use runtime::event_loop::{Inbox, StateMachine};
+use runtime::link::{ACK_TIMEOUT, Event, LinkHandle, ReconnectingLink};
+use runtime::{Runtime, SignalEvent};
 use settings::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -22,12 +22,12 @@
 
 enum Told {
     FellowLink(Ipv4Addr, u64, Event<Peer>),
-    FellowTaken(Line),
+    FellowTaken(LinkHandle),
     FellowSays(u64, Event<Peer>),
-    LocalTaken(Line),
+    LocalTaken(LinkHandle),
     LocalSays(u64, Event<ToStore>),
     Written(u64),
-    Asked(Asked),
+    Asked(SignalEvent),
 }
 
 fn main() -> ExitCode {
@@ -40,8 +40,8 @@
     Some(losses.saturating_mul(2).saturating_add(1))
 }
 
-fn work(mut start: Start) -> Result<()> {
-    let stage = start.stage::<Told>()?;
+fn work(mut start: Runtime) -> Result<()> {
+    let stage = start.event_loop::<Told>()?;
     let inbox = stage.inbox.clone();
     let (me, seeds) = (start.settings.ip, start.seeds());
     let dir = start.settings.data_directory.clone();
@@ -65,7 +65,7 @@
     let peers_port = start.listen(STORE_PEERS, &inbox, Told::FellowTaken, Told::FellowSays)?.port();
     start.listen(STORE_LOCAL, &inbox, Told::LocalTaken, Told::LocalSays)?;
     let posts = inbox.clone();
-    start.watch(move |asked| posts.post(Told::Asked(asked)))?;
+    start.on_signal(move |asked| posts.post(Told::Asked(asked)))?;
 
     let (over, ended) = channel();
     let (fellows, taken, locals) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -82,7 +82,7 @@
         over,
         stood: Standing::default(),
     };
-    stage.work(shell, &ended)
+    stage.run(shell, &ended)
 }
 
 /// Writes on a thread of its own: a disk may take long. A write that is refused is tried again, on the store opened
@@ -109,7 +109,7 @@
                 };
                 let Err(why) = done else { break };
                 log::error!("{why}");
-                runtime::ring::write_out("the disk refuses a write");
+                runtime::log_buffer::dump("the disk refuses a write");
                 std::thread::sleep(REFUSED);
                 drop(store.take());
                 // It was made long ago: there is nothing to begin with.
@@ -125,10 +125,10 @@
     chest: Chest,
     me: Ipv4Addr,
     peers_port: u16,
-    fellows: BTreeMap<Ipv4Addr, Tie>,
+    fellows: BTreeMap<Ipv4Addr, ReconnectingLink>,
     /// Links that fellows opened: who is at the other end, once told.
-    taken: BTreeMap<u64, (Line, Option<Ipv4Addr>)>,
-    locals: BTreeMap<u64, Line>,
+    taken: BTreeMap<u64, (LinkHandle, Option<Ipv4Addr>)>,
+    locals: BTreeMap<u64, LinkHandle>,
     writes: Sender<Write>,
     inbox: Inbox<Told>,
     out: Vec<Output>,
@@ -136,19 +136,19 @@
     stood: Standing,
 }
 
-impl Machine for Shell {
-    type Told = Told;
+impl StateMachine for Shell {
+    type Message = Told;
 
-    fn take(&mut self, now: Micros, told: Option<Told>) {
+    fn handle(&mut self, now: Micros, told: Option<Told>) {
         let input = match told {
             None => Some(Input::Tick),
             Some(Told::FellowLink(ip, link, event)) => {
                 let iam = Peer::Iam { ip: self.me, disk: self.chest.disk() };
                 if let Some(tie) = self.fellows.get_mut(&ip) {
                     match event {
-                        Event::Up if tie.rose(link) => tie.send(&iam),
+                        Event::Up if tie.on_up(link) => tie.send(&iam),
                         Event::Down => {
-                            tie.fell(now, link);
+                            tie.on_down(now, link);
                         }
                         _ => {}
                     }
@@ -159,16 +159,16 @@
                 self.taken.insert(line.number, (line, None));
                 None
             }
-            Some(Told::FellowSays(link, Event::Got(Peer::Iam { ip, .. }))) => {
+            Some(Told::FellowSays(link, Event::Received(Peer::Iam { ip, .. }))) => {
                 if let Some(taken) = self.taken.get_mut(&link) {
                     taken.1 = Some(ip);
                 }
                 if let Some(tie) = self.fellows.get_mut(&ip) {
-                    tie.called(now);
+                    tie.on_peer_connected(now);
                 }
                 None
             }
-            Some(Told::FellowSays(link, Event::Got(peer))) => {
+            Some(Told::FellowSays(link, Event::Received(peer))) => {
                 let from = self.taken.get(&link).and_then(|t| t.1);
                 from.map(|ip| Input::Peer(ip, peer))
             }
@@ -180,15 +180,15 @@
                 self.locals.insert(line.number, line);
                 None
             }
-            Some(Told::LocalSays(link, Event::Got(message))) => Some(Input::Local(link, message)),
+            Some(Told::LocalSays(link, Event::Received(message))) => Some(Input::Local(link, message)),
             Some(Told::LocalSays(link, Event::Down)) => {
                 self.locals.remove(&link);
                 Some(Input::LocalDown(link))
             }
             Some(Told::FellowSays(_, Event::Up) | Told::LocalSays(_, Event::Up)) => None,
             Some(Told::Written(number)) => Some(Input::Written(number)),
-            Some(Told::Asked(Asked::Stop)) => Some(Input::Stop),
-            Some(Told::Asked(Asked::Settings(settings))) => {
+            Some(Told::Asked(SignalEvent::Stop)) => Some(Input::Stop),
+            Some(Told::Asked(SignalEvent::Settings(settings))) => {
                 Some(Input::Settings { size: core_size(&settings), seeds: runtime::seeds(&settings) })
             }
         };
@@ -200,7 +200,7 @@
                 self.stood = stands;
                 if let Some(why) = self.chest.unreadable() {
                     log::error!("{why}; start the program of the other stores on this disk");
-                    runtime::ring::write_out("what the others agree on cannot be read");
+                    runtime::log_buffer::dump("what the others agree on cannot be read");
                 }
             }
         }
@@ -208,7 +208,8 @@
             match output {
                 Output::Peer(ip, peer) => {
                     let port = self.peers_port;
-                    let tie = self.fellows.entry(ip).or_insert_with(|| Tie::new((ip, port).into()));
+                    let tie =
+                        self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
                     tie.send(&peer);
                 }
                 Output::Local(link, message) => {
@@ -222,12 +223,12 @@
         }
         let port = self.peers_port;
         for ip in self.chest.fellows() {
-            self.fellows.entry(ip).or_insert_with(|| Tie::new((ip, port).into()));
+            self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
         }
         // Also to those that are no fellows yet: a leader brings a newcomer up to date before it is one.
         for (ip, tie) in &mut self.fellows {
             let (ip, inbox) = (*ip, self.inbox.clone());
-            tie.tend(now, SILENCE, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
+            tie.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
         }
         if self.chest.ends_at().is_some_and(|at| now >= at) {
             let _ = self.over.send(());
@@ -235,7 +236,7 @@
     }
 
     fn wake_at(&mut self) -> Micros {
-        let ties = self.fellows.values().map(Tie::wake_at).min().unwrap_or(Micros::MAX);
+        let ties = self.fellows.values().map(ReconnectingLink::wake_at).min().unwrap_or(Micros::MAX);
         self.chest.wake_at().min(ties)
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,13 @@
-//! The proxy. [`front`] decides on requests, around the decisions that it shares with the gateway; [`routing_view`]
-//! turns the agreed state into their settings; [`feed`] keeps the news coming and passes them on; [`watch`]
-//! knows the silent, [`drill`] who meets a rehearsed fault, [`rollout`] what may go to a new version, [`servers`] whose an answer is. No I/O and no clock in any of them; `main.rs` is the shell.
+//! The proxy, which carries clients' requests to servers. [`dispatcher`] handles requests, around the decision module
+//! that the proxy shares with the gateway; [`routing_view`] turns the agreed state into its settings; [`feed`] keeps
+//! the copy of the state up to date and passes updates on, by [`relay`] and [`tree`]; [`failure_detector`] notices
+//! silent neighbours; [`drill`] tells which requests get an injected fault, [`rollout`] what may go to a new version,
+//! [`servers`] which attempt an answer belongs to. None of them does I/O or reads a clock; `main.rs` has the sockets.
 
+pub mod dispatcher;
 pub mod drill;
+pub mod failure_detector;
 pub mod feed;
-pub mod front;
 pub mod relay;
 pub mod reservations;
 pub mod rollout;
@@ -12,4 +15,3 @@
 pub mod servers;
 pub mod tenants;
 pub mod tree;
-pub mod watch;
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -1,7 +1,7 @@
 //! The proxy's side of HTTP to servers: the headers that it adds per attempt, which attempt an answer
 //! belongs to, and how an attempt ended.
 
-use crate::front::{End, Reached, Served};
+use crate::dispatcher::{AttemptResult, Execution, ServerAnswer};
 use net::Micros;
 use net::errors::AttemptError;
 use net::http;
@@ -28,14 +28,14 @@
     headers: Vec<u8>,
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> ServerWire<T> {
+impl<T: Fn(u64, u32, AttemptResult) + Send + Sync + 'static> ServerWire<T> {
     /// Reports the end of each attempt to `on_end`.
     pub fn new(on_end: T) -> ServerWire<T> {
         ServerWire { on_end }
     }
 }
 
-impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for ServerWire<T> {
+impl<T: Fn(u64, u32, AttemptResult) + Send + Sync + 'static> Wire for ServerWire<T> {
     type Note = AttemptInfo;
     type Said = AnswerInfo;
 
@@ -60,18 +60,21 @@
 
     fn ended(&self, ended: Ended<ServerWire<T>>) {
         let end = match ended.outcome {
-            Ok(pool::Served { status, said, body }) => {
-                End::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
-            }
+            Ok(pool::Served { status, said, body }) => AttemptResult::Answered(ServerAnswer {
+                status,
+                not_run: said.not_run,
+                headers: said.headers,
+                body,
+            }),
             Err(why) => {
                 log::info!("attempt {}.{} failed: {why}", ended.id, ended.attempt);
-                End::Broken { reached: reached(&why) }
+                AttemptResult::Broken { execution: reached(&why) }
             }
         };
         (self.on_end)(ended.id, ended.attempt, end);
     }
 }
 
-fn reached(why: &AttemptError) -> Reached {
-    if why.never_ran() { Reached::NeverRan } else { Reached::MayHaveRun }
+fn reached(why: &AttemptError) -> Execution {
+    if why.never_ran() { Execution::NeverRan } else { Execution::MayHaveRun }
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,11 +1,13 @@
-//! Agreed states, made by commands, and a proxy that hears of them.
-#![allow(dead_code)] // each test file uses a part of it
+//! Builds cluster states from commands, and a proxy that is told of them.
+#![allow(dead_code)] // each test file uses only some of it
 
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::News;
 use net::limits::Held;
-use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
+use proxy::dispatcher::{
+    Answer, AttemptResult, ClientRequest, Dispatcher, Execution, Input, Job, Output, ServerAnswer,
+};
 use proxy::reservations::BookingTimes;
 use proxy::routing_view::{Leeway, ProxySettings};
 use std::collections::BTreeMap;
@@ -26,7 +28,7 @@
     r#"["deep","h","/get/deep/","unsafe","stilt",null,2000,1000,3,true,null]"#,
 ];
 
-/// Without a limit: reed; at home in the south: rush; with a quota: sedge.
+/// Tenants: reed has no limit, rush may be served only in the south, sedge has a quota.
 pub fn config(version: u32, routes: &[&str]) -> Command {
     let body = format!(
         r#"{{"config_version":"{version:08x}","limits":{{}},
@@ -51,7 +53,7 @@
     Command::Nodes(of.iter().map(|(last, zone)| NodeChange::Up(node(*last, zone))).collect())
 }
 
-/// Each at its own address, by its number.
+/// A server at an address of its own that is derived from `number`.
 pub fn server(number: u8, id: &str, service: &str, zone: &str, cold_ms: u32) -> Command {
     Command::Servers(vec![ServerChange::Up(Server {
         id: id.into(),
@@ -92,25 +94,27 @@
     }
 }
 
-/// A proxy in zone north-a, and what it has been told of servers.
+/// A proxy in zone north-a with the outputs of its dispatcher.
 pub struct Proxy {
     pub now: u64,
-    pub front: Front,
+    pub dispatcher: Dispatcher,
     pub rev: u64,
+    /// Outputs of the last input.
     pub out: Vec<Output>,
+    /// The listed servers, and whether each may get new requests.
     pub ids: BTreeMap<u64, (String, bool)>,
     asked: u64,
 }
 
 impl Proxy {
     pub fn new(commands: Vec<Command>) -> Proxy {
-        let (front, ids) = (Front::new(place(1, "north-a"), SECOND, 7, SECOND), BTreeMap::new());
-        let mut proxy = Proxy { now: SECOND, front, rev: 0, out: Vec::new(), ids, asked: 0 };
+        let (dispatcher, ids) = (Dispatcher::new(place(1, "north-a"), SECOND, 7, SECOND), BTreeMap::new());
+        let mut proxy = Proxy { now: SECOND, dispatcher, rev: 0, out: Vec::new(), ids, asked: 0 };
         commands.into_iter().for_each(|c| proxy.learn(c));
         proxy
     }
 
-    /// With the usual configuration and these servers of heron: their names and zones.
+    /// With the usual configuration and these servers of the service heron (name and zone).
     pub fn with(servers: &[(&str, &str)]) -> Proxy {
         let mut proxy = Proxy::new(vec![nodes(&[(1, "north-a")]), config(1, &ROUTES)]);
         for (n, (id, zone)) in (1..).zip(servers) {
@@ -119,6 +123,7 @@
         proxy
     }
 
+    /// Applies a command as the next update of the state.
     pub fn learn(&mut self, command: Command) {
         let (from, to) = (self.rev, self.rev + 1);
         self.rev = to;
@@ -127,13 +132,13 @@
 
     pub fn tell(&mut self, input: Input) {
         self.out.clear();
-        self.front.handle(self.now, input, &mut self.out);
+        self.dispatcher.handle(self.now, input, &mut self.out);
         for output in &self.out {
             match output {
                 Output::Server { server, peer, up } => {
                     self.ids.insert(*server, (peer.id.to_string(), *up));
                 }
-                Output::Gone { server } => _ = self.ids.remove(server),
+                Output::ServerRemoved { server } => _ = self.ids.remove(server),
                 _ => {}
             }
         }
@@ -149,12 +154,12 @@
 
     pub fn ask_within(&mut self, path: &str, key: Option<&str>, left_us: Option<u64>) -> u64 {
         self.asked += 1;
-        self.tell(Input::Asked(Ask {
+        self.tell(Input::Request(ClientRequest {
             id: self.asked,
             method: "GET".into(),
             target: path.into(),
             host: "h".into(),
-            name: b"name".as_slice().into(),
+            attempt_id: b"name".as_slice().into(),
             left_us,
             key: key.map(str::to_string),
             head: b"Accept: all\r\n".to_vec(),
@@ -163,32 +168,32 @@
         self.asked
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, end: End) {
-        self.tell(Input::Ended { id, attempt, end });
+    pub fn end(&mut self, id: u64, attempt: u32, end: AttemptResult) {
+        self.tell(Input::AttemptEnded { id, attempt, end });
     }
 
     pub fn served(&mut self, id: u64, attempt: u32, status: u16, not_run: bool) {
-        let served = Served { status, not_run, headers: Vec::new(), body: b"said".to_vec() };
-        self.end(id, attempt, End::Answered(served));
+        let served = ServerAnswer { status, not_run, headers: Vec::new(), body: b"said".to_vec() };
+        self.end(id, attempt, AttemptResult::Answered(served));
     }
 
-    pub fn broken(&mut self, id: u64, attempt: u32, reached: Reached) {
-        self.end(id, attempt, End::Broken { reached });
+    pub fn broken(&mut self, id: u64, attempt: u32, execution: Execution) {
+        self.end(id, attempt, AttemptResult::Broken { execution });
     }
 
-    /// The one attempt that the last input led to.
+    /// The attempt that the last input led to, at most one.
     pub fn sent(&self) -> Option<&Job> {
         let mut jobs =
             self.out.iter().filter_map(|o| if let Output::Send(job) = o { Some(job) } else { None });
         let (first, second) = (jobs.next(), jobs.next());
-        assert!(second.is_none(), "one at most");
+        assert!(second.is_none(), "at most one attempt");
         first
     }
 
-    /// The server that it goes to.
+    /// The instance that this attempt goes to.
     pub fn goes_to(&self) -> Option<&str> {
         self.sent().map(|job| {
-            assert_eq!(self.ids[&job.server].0, &*job.instance, "the life that may run it");
+            assert_eq!(self.ids[&job.server].0, &*job.instance, "the instance that may run it");
             &*job.instance
         })
     }
@@ -201,7 +206,7 @@
         self.answer().map(|a| a.status)
     }
 
-    /// The answer says when to come again.
+    /// Whether the answer has a positive `Retry-After`.
     pub fn says_when(&self) -> bool {
         let headers = String::from_utf8(self.answer().expect("an answer").headers.clone()).expect("text");
         let after = headers.lines().find_map(|l| l.strip_prefix("Retry-After: "));
--- a/crates/proxy/tests/drill.rs
+++ b/crates/proxy/tests/drill.rs
@@ -7,7 +7,7 @@
 use cluster::state::Command;
 use cluster::talk::Lease;
 use common::*;
-use proxy::front::{Input, Output, Reached};
+use proxy::dispatcher::{Execution, Input, Output};
 use settings::drill::Drill;
 
 /// Starts a drill for the tenant of key k1, which has no quota.
@@ -30,7 +30,7 @@
 
 fn due_reports(proxy: &mut Proxy) -> Vec<Rows> {
     let now = proxy.now;
-    proxy.front.drill_rows(now)
+    proxy.dispatcher.drill_rows(now)
 }
 
 /// Applies the pending reports to the agreed state, and returns them.
@@ -70,7 +70,7 @@
     let id = proxy.ask("/put/", Some("k1"));
     proxy.served(id, 0, 503, true);
     assert!(proxy.sent().is_some(), "the other server has room");
-    proxy.broken(id, 1, Reached::MayHaveRun);
+    proxy.broken(id, 1, Execution::MayHaveRun);
     assert_eq!(proxy.status(), Some(502));
 }
 
@@ -183,9 +183,9 @@
     start(&mut proxy, "x", r#""late","delay_ms":1"#, r#""guard":{"real_failures":2},"#);
     for _ in 0..2 {
         let id = proxy.ask("/put/", Some("k1"));
-        proxy.broken(id, 0, Reached::MayHaveRun);
+        proxy.broken(id, 0, Execution::MayHaveRun);
     }
     let said = confirm_reports(&mut proxy);
     assert!(said.iter().any(|s| matches!(s, Said::Guard(why) if why.contains("2 real"))), "{said:?}");
-    assert_eq!(proxy.front.copy.state.drills.running().count(), 0);
+    assert_eq!(proxy.dispatcher.copy.state.drills.running().count(), 0);
 }
--- a/crates/proxy/tests/reservations.rs
+++ b/crates/proxy/tests/reservations.rs
@@ -8,7 +8,7 @@
 use cluster::state::Command;
 use cluster::talk::News;
 use common::*;
-use proxy::front::{Front, Input};
+use proxy::dispatcher::{Dispatcher, Input};
 use proxy::reservations::{BookingTimes, Reservations};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -186,12 +186,12 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let flight = 12;
     let mut log: Vec<(u64, Command)> = vec![(0, put(booking(flight, 0), 0)), (0, phase(1, Phase::Open))];
-    let front = |n: u8| {
+    let dispatcher = |n: u8| {
         let mut place = place(n, "north-a");
         place.booking_times = TIMES;
-        Front::new(place, SECOND, 1, 0)
+        Dispatcher::new(place, SECOND, 1, 0)
     };
-    let mut proxies: Vec<(Front, u64)> = (1..=3).map(|n| (front(n), 0)).collect();
+    let mut proxies: Vec<(Dispatcher, u64)> = (1..=3).map(|n| (dispatcher(n), 0)).collect();
     let mut cut_off_until = [0u64; 3];
     let (mut excess, mut largest_sum) = (i64::MIN, 0);
     let mut number = 0;
@@ -208,14 +208,14 @@
                 cut_off_until[n] = now + rng.u64(0..10 * SECOND);
             }
             if rng.u32(0..200) == 0 {
-                proxies[n] = (front(n as u8 + 1), 0);
+                proxies[n] = (dispatcher(n as u8 + 1), 0);
             }
-            let (front, at) = &mut proxies[n];
+            let (dispatcher, at) = &mut proxies[n];
             // News are late by at most the time within which all proxies in contact learn of a change.
             let late = if rng.u32(0..4) == 0 { rng.u64(0..TIMES.settle_us) } else { 200 * MS };
             let heard = now.saturating_sub(late);
             if now >= cut_off_until[n] && rng.u32(0..3) > 0 && heard >= *at {
-                let from = front.copy.rev();
+                let from = dispatcher.copy.rev();
                 let up_to = log.iter().filter(|c| c.0 <= heard).count() as u64;
                 if up_to > from {
                     let commands: Vec<_> =
@@ -226,15 +226,15 @@
                     } else {
                         News::Run { from, to: up_to, commands }
                     };
-                    front.handle(now, Input::News(news), &mut Vec::new());
+                    dispatcher.handle(now, Input::News(news), &mut Vec::new());
                 }
                 *at = heard;
-                front.fresh(now, Some(heard));
+                dispatcher.set_fresh_at(now, Some(heard));
             }
             if blind {
-                front.fresh(now, Some(now));
+                dispatcher.set_fresh_at(now, Some(now));
             }
-            front.handle(now, Input::Tick, &mut Vec::new());
+            dispatcher.handle(now, Input::Tick, &mut Vec::new());
         }
         let sum: u32 = proxies.iter().map(|p| p.0.bookings().get("night").map_or(0, |s| s.part)).sum();
         excess = excess.max(i64::from(sum) - i64::from(flight));
@@ -265,7 +265,7 @@
             proxy.ask("/get/", Some("k1"));
         }
         proxy.now += SECOND / 3;
-        proxy.front.uses(proxy.now).into_iter().map(|u| (u.tenant, u.wanted)).collect()
+        proxy.dispatcher.tenant_usage(proxy.now).into_iter().map(|u| (u.tenant, u.wanted)).collect()
     };
     assert!(!reported(&mut proxy).contains_key(&key));
     proxy.learn(put(booking(12, 0), 0));
--- a/crates/proxy/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -5,7 +5,7 @@
 use cluster::rollout::{Order, RolloutChange, Stage};
 use cluster::state::{Command, ServerChange};
 use common::*;
-use proxy::front::Reached;
+use proxy::dispatcher::Execution;
 use proxy::rollout::{Exposure, Rollouts};
 
 const SHARE: f64 = 0.08;
@@ -27,7 +27,7 @@
 }
 
 fn advance(proxy: &mut Proxy, to: Stage) {
-    let epoch = proxy.front.copy.state.rollouts.0["heron"].epoch;
+    let epoch = proxy.dispatcher.copy.state.rollouts.0["heron"].epoch;
     let (service, reason) = ("heron".to_string(), String::new());
     proxy.learn(Command::Rollout(RolloutChange::Advance { service, epoch, to, reason }));
 }
@@ -102,7 +102,7 @@
         proxy.now += 5_000;
         if on_trial {
             failed += 1;
-            proxy.broken(id, 0, Reached::MayHaveRun);
+            proxy.broken(id, 0, Execution::MayHaveRun);
             assert!(proxy.goes_to().expect("sent again").starts_with('o'));
             proxy.served(id, 1, 200, false);
         } else {
@@ -127,19 +127,19 @@
     let out = proxy.ask("/get/a", Some("k1"));
     assert!(proxy.goes_to().expect("sent").starts_with('o'));
     proxy.now += SECOND;
-    let tallies = proxy.front.tallies(proxy.now);
+    let tallies = proxy.dispatcher.tallies(proxy.now);
     let [tally] = &tallies[..] else { panic!("one rollout: {tallies:?}") };
     let [route] = &tally.routes[..] else { panic!("one route: {tally:?}") };
     assert_eq!((route.old.ended, route.old.failed), (served, 0));
     assert_eq!((route.new.ended, route.new.failed), (failed, failed));
     assert_eq!(route.old.times.iter().sum::<u32>(), served);
-    assert_eq!((tally.old_out, tally.rev), (1, proxy.front.copy.rev()));
+    assert_eq!((tally.old_out, tally.rev), (1, proxy.dispatcher.copy.rev()));
     proxy.served(out, 0, 200, false);
     proxy.now += SECOND;
-    assert_eq!(proxy.front.tallies(proxy.now)[0].old_out, 0);
+    assert_eq!(proxy.dispatcher.tallies(proxy.now)[0].old_out, 0);
     advance(&mut proxy, Stage::Reverted);
     proxy.now += SECOND;
-    assert!(proxy.front.tallies(proxy.now).is_empty(), "it has ended");
+    assert!(proxy.dispatcher.tallies(proxy.now).is_empty(), "it has ended");
 }
 
 /// Guards against giving the margin to each run of a proxy, which would add up over repeated restarts.
@@ -150,7 +150,7 @@
         let ip = node(1, "north-a").ip;
         let mut rollouts = Rollouts::new(ip, 7, exposure, SECOND, 0);
         let proxy = with_rollout();
-        rollouts.apply_state(uptime_us, &proxy.front.copy.state.rollouts, 2, |_| Some(0));
+        rollouts.apply_state(uptime_us, &proxy.dispatcher.copy.state.rollouts, 2, |_| Some(0));
         let granted = (0..100).filter(|_| rollouts.reserve(0, 7)).count();
         assert_eq!(granted, reserved, "of 25 for two proxies, one of them left for other routes");
     }
@@ -188,7 +188,7 @@
         assert_eq!(proxy.ids.len(), listed, "not yet");
     }
     proxy.now += SECOND / 4;
-    proxy.tell(proxy::front::Input::Tick);
+    proxy.tell(proxy::dispatcher::Input::Tick);
     assert_eq!(proxy.ids.len(), listed + 19);
     proxy.learn(Command::Servers(vec![ServerChange::Draining { id: "o1".into() }]));
     assert!(!proxy.up().contains(&"o1"));
--- a/crates/proxy/tests/routing_view.rs
+++ b/crates/proxy/tests/routing_view.rs
@@ -121,8 +121,8 @@
     let mut proxy = Proxy::new(vec![nodes(&two), config(1, &ROUTES)]);
     proxy.learn(server(1, "b", "heron", "north-b", 500));
     assert!(proxy.up().is_empty(), "only the proxy of its own zone warms it up");
-    assert_eq!(proxy.front.wake_at(), SECOND + 500_000);
-    proxy.now = proxy.front.wake_at();
-    proxy.tell(proxy::front::Input::Tick);
+    assert_eq!(proxy.dispatcher.wake_at(), SECOND + 500_000);
+    proxy.now = proxy.dispatcher.wake_at();
+    proxy.tell(proxy::dispatcher::Input::Tick);
     assert_eq!(proxy.up(), ["b"]);
 }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -10,9 +10,9 @@
 use net::limits::Held;
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
-use runtime::link::{Event, Line, SILENCE, Tie};
-use runtime::turn::{Inbox, Machine};
-use runtime::{Asked, Start};
+use runtime::event_loop::{Inbox, StateMachine};
+use runtime::link::{ACK_TIMEOUT, Event, LinkHandle, ReconnectingLink};
+use runtime::{Runtime, SignalEvent};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::process::ExitCode;
@@ -33,19 +33,19 @@
     CallGone(u64),
     StoreLink(u64, Event<FromStore>),
     PeerLink(Ipv4Addr, u64, Event<()>),
-    PeerTaken(Line),
+    PeerTaken(LinkHandle),
     PeerSays(u64, Event<Gossip>),
-    ProxyTaken(Line),
+    ProxyTaken(LinkHandle),
     ProxySays(u64, Event<Up>),
-    Asked(Asked),
+    Asked(SignalEvent),
 }
 
 fn main() -> ExitCode {
     runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", work)
 }
 
-fn work(mut start: Start) -> Result<()> {
-    let stage = start.stage::<Told>()?;
+fn work(mut start: Runtime) -> Result<()> {
+    let stage = start.event_loop::<Told>()?;
     let (inbox, room) = (stage.inbox.clone(), start.room(stage.clock, KEPT)?);
     let s = &start.settings;
     let terms = Terms {
@@ -70,12 +70,12 @@
     let peers = start.listen(REGISTRY_PEERS, &inbox, Told::PeerTaken, Told::PeerSays)?;
     start.listen(REGISTRY_NEWS, &inbox, Told::ProxyTaken, Told::ProxySays)?;
     let posts = inbox.clone();
-    start.watch(move |asked| posts.post(Told::Asked(asked)))?;
+    start.on_signal(move |asked| posts.post(Told::Asked(asked)))?;
 
     let (over, ended) = channel();
     let shell = Shell {
         board: Board::new(terms, stage.clock.now()),
-        store: Tie::new(start.internal(STORE_LOCAL)?),
+        store: ReconnectingLink::new(start.internal_addr(STORE_LOCAL)?),
         peers_port: peers.port(),
         peers: BTreeMap::new(),
         taken: BTreeMap::new(),
@@ -88,7 +88,7 @@
         ends_at: None,
         logged_rollouts: 0,
     };
-    stage.work(shell, &ended)
+    stage.run(shell, &ended)
 }
 
 const TTL_S: f64 = 5.0;
@@ -149,11 +149,11 @@
 
 struct Shell {
     board: Board,
-    store: Tie,
+    store: ReconnectingLink,
     peers_port: u16,
-    peers: BTreeMap<Ipv4Addr, Tie>,
-    taken: BTreeMap<u64, Line>,
-    proxies: BTreeMap<u64, Line>,
+    peers: BTreeMap<Ipv4Addr, ReconnectingLink>,
+    taken: BTreeMap<u64, LinkHandle>,
+    proxies: BTreeMap<u64, LinkHandle>,
     replies: BTreeMap<u64, Reply>,
     inbox: Inbox<Told>,
     out: Vec<Output>,
@@ -190,17 +190,19 @@
                 self.replies.remove(&id);
                 Input::CallGone(id)
             }
-            Told::StoreLink(link, Event::Up) => self.store.rose(link).then_some(Input::StoreUp)?,
-            Told::StoreLink(link, Event::Down) => self.store.fell(now, link).then_some(Input::StoreDown)?,
-            Told::StoreLink(link, Event::Got(message)) => {
-                self.store.holds(link).then_some(Input::Store(message))?
+            Told::StoreLink(link, Event::Up) => self.store.on_up(link).then_some(Input::StoreUp)?,
+            Told::StoreLink(link, Event::Down) => {
+                self.store.on_down(now, link).then_some(Input::StoreDown)?
+            }
+            Told::StoreLink(link, Event::Received(message)) => {
+                self.store.is_up(link).then_some(Input::Store(message))?
             }
             Told::PeerLink(ip, link, event) => {
                 let tie = self.peers.get_mut(&ip)?;
                 match event {
-                    Event::Up => tie.rose(link),
-                    Event::Down => tie.fell(now, link),
-                    Event::Got(()) => false,
+                    Event::Up => tie.on_up(link),
+                    Event::Down => tie.on_down(now, link),
+                    Event::Received(()) => false,
                 };
                 return None;
             }
@@ -208,7 +210,7 @@
                 self.taken.insert(line.number, line);
                 return None;
             }
-            Told::PeerSays(_, Event::Got(gossip)) => Input::Peer(gossip),
+            Told::PeerSays(_, Event::Received(gossip)) => Input::Peer(gossip),
             Told::PeerSays(link, Event::Down) => {
                 self.taken.remove(&link);
                 return None;
@@ -217,27 +219,27 @@
                 self.proxies.insert(line.number, line);
                 return None;
             }
-            Told::ProxySays(link, Event::Got(up)) => Input::Proxy(link, up),
+            Told::ProxySays(link, Event::Received(up)) => Input::Proxy(link, up),
             Told::ProxySays(link, Event::Down) => {
                 self.proxies.remove(&link);
                 Input::ProxyDown(link)
             }
             Told::PeerSays(_, Event::Up) | Told::ProxySays(_, Event::Up) => return None,
-            Told::Asked(Asked::Stop) => {
+            Told::Asked(SignalEvent::Stop) => {
                 log::info!("asked to end");
                 self.draining.store(true, Ordering::Relaxed);
                 self.ends_at.get_or_insert(now + PARTING_US);
                 return None;
             }
-            Told::Asked(Asked::Settings(_)) => return None,
+            Told::Asked(SignalEvent::Settings(_)) => return None,
         })
     }
 }
 
-impl Machine for Shell {
-    type Told = Told;
+impl StateMachine for Shell {
+    type Message = Told;
 
-    fn take(&mut self, now: Micros, told: Option<Told>) {
+    fn handle(&mut self, now: Micros, told: Option<Told>) {
         let input = match told {
             None => Some(Input::Tick),
             Some(told) => self.read(now, told),
@@ -258,10 +260,13 @@
                 Output::Store(message) => self.store.send(&message),
                 Output::Peer(ip, gossip) => {
                     let port = self.peers_port;
-                    let tie = self.peers.entry(ip).or_insert_with(|| Tie::new((ip, port).into()));
+                    let tie =
+                        self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
                     tie.send(&gossip);
                     let inbox = self.inbox.clone();
-                    tie.tend(now, SILENCE, move |link, event| inbox.post(Told::PeerLink(ip, link, event)));
+                    tie.maintain(now, ACK_TIMEOUT, move |link, event| {
+                        inbox.post(Told::PeerLink(ip, link, event))
+                    });
                 }
                 Output::Proxy(link, down) => {
                     if let Some(line) = self.proxies.get(&link) {
@@ -271,7 +276,7 @@
             }
         }
         let inbox = self.inbox.clone();
-        self.store.tend(now, SILENCE, move |link, event| inbox.post(Told::StoreLink(link, event)));
+        self.store.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::StoreLink(link, event)));
         if self.ends_at.is_some_and(|at| now >= at) {
             let _ = self.over.send(());
         }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -12,11 +12,11 @@
 use config_store::chest::{self, Chest, Peer};
 use consensus::{Saved, Write};
 use net::limits::Held;
+use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution, ServerAnswer};
+use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
-use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::reservations::{BookingTimes, ReservationStatus};
 use proxy::routing_view::{Leeway, ProxySettings};
-use proxy::watch::Watch;
 use registry::board::{self, Board, Terms};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -105,9 +105,9 @@
 }
 
 pub struct Proxy {
-    pub front: Front,
+    pub front: Dispatcher,
     feed: Feed,
-    watch: Watch,
+    watch: FailureDetector,
     /// Links to those who are followed, by the feed's numbers; links of followers.
     lines: BTreeMap<u64, ConnId>,
     followers: BTreeSet<ConnId>,
@@ -260,9 +260,9 @@
                     },
                 );
                 let node = Node { ip, name, zone: zone.0, region: zone.1, front };
-                let watch = Watch::new(node.clone(), BEAT / 3, life, 0);
+                let watch = FailureDetector::new(node.clone(), BEAT / 3, life, 0);
                 let proxy = Proxy {
-                    front: Front::new(place, BEAT, life, 0),
+                    front: Dispatcher::new(place, BEAT, life, 0),
                     feed: Feed::new(node, zones, seeds, BEAT, life, 0),
                     watch,
                     lines: BTreeMap::new(),
@@ -333,7 +333,7 @@
                 if let Some(p) = &mut self.proxies[n] {
                     let now = p.clock(self.now);
                     p.machine.asked_at.get_or_insert(now);
-                    self.feed(n, Some(feed::Input::Ends));
+                    self.feed(n, Some(feed::Input::Shutdown));
                 }
             }
             _ => {}
@@ -571,21 +571,21 @@
                 x.followers.insert(conn);
             }
             (Kind::Relay, Event::Got(body)) if x.followers.contains(&conn) => {
-                let input = read::<Up>(&body).map(|up| feed::Input::Below(conn, up));
+                let input = read::<Up>(&body).map(|up| feed::Input::FromFollower(conn, up));
                 self.feed(n, input);
             }
             (Kind::Relay, Event::Down) if x.followers.remove(&conn) => {
-                self.feed(n, Some(feed::Input::BelowGone(conn)));
+                self.feed(n, Some(feed::Input::FollowerGone(conn)));
             }
             (Kind::News | Kind::Relay, event) => {
                 let Some(link) = x.lines.iter().find(|(_, c)| **c == conn).map(|(l, _)| *l) else { return };
                 let input = match event {
-                    Event::Up => feed::Input::Linked(link),
+                    Event::Up => feed::Input::Connected(link),
                     Event::Got(body) => match read::<Down>(&body) {
-                        Some(down) => feed::Input::Got(link, down),
+                        Some(down) => feed::Input::Received(link, down),
                         None => return,
                     },
-                    Event::Down => feed::Input::Broken(link),
+                    Event::Down => feed::Input::Disconnected(link),
                     Event::Taken(_) => return,
                 };
                 self.feed(n, Some(input));
@@ -597,24 +597,24 @@
                 let now = self.now;
                 let t = &mut self.record.tries[number as usize];
                 t.read = Some(now);
-                let ask = Ask {
+                let ask = ClientRequest {
                     id: conn,
                     method: if t.once { "POST" } else { "GET" }.into(),
                     target: t.path.clone(),
                     host: t.host.clone(),
-                    name: number.to_string().into_bytes().into(),
+                    attempt_id: number.to_string().into_bytes().into(),
                     left_us: Some(t.until.saturating_sub(t.sent)),
                     key: t.key.clone(),
                     head: format!("X-Attempt-Id: {number}\r\n").into_bytes(),
                     body: Held::default(),
                 };
                 x.open.insert(conn, number);
-                self.front(n, Some(front::Input::Asked(ask)));
+                self.front(n, Some(dispatcher::Input::Request(ask)));
             }
             (Kind::Request, Event::Down) => {
                 x.clients.remove(&conn);
                 let open = x.open.remove(&conn).is_some();
-                self.front(n, open.then_some(front::Input::Withdrawn(conn)));
+                self.front(n, open.then_some(dispatcher::Input::ClientGone(conn)));
             }
             (Kind::Work, Event::Up) => {
                 if let Some(c) = x.work.get_mut(&conn) {
@@ -634,8 +634,8 @@
                 } else if let Some(c) = x.work.remove(&conn) {
                     if w.garbled {
                         self.close(conn, Owner::Proxy(n));
-                        let end = End::Broken { reached: Reached::MayHaveRun };
-                        let input = front::Input::Ended { id: c.id, attempt: c.attempt, end };
+                        let end = AttemptResult::Broken { execution: Execution::MayHaveRun };
+                        let input = dispatcher::Input::AttemptEnded { id: c.id, attempt: c.attempt, end };
                         return self.front(n, Some(input));
                     }
                     match c.surplus {
@@ -644,29 +644,35 @@
                     }
                     let seal = w.seal.map(|s| format!("X-Server-Seal: {s}\r\n")).unwrap_or_default();
                     let (headers, body) = (seal.into_bytes(), Vec::new());
-                    let served = Served { status: w.status, not_run: w.not_run, headers, body };
-                    let end = End::Answered(served);
-                    self.front(n, Some(front::Input::Ended { id: c.id, attempt: c.attempt, end }));
+                    let served = ServerAnswer { status: w.status, not_run: w.not_run, headers, body };
+                    let end = AttemptResult::Answered(served);
+                    self.front(
+                        n,
+                        Some(dispatcher::Input::AttemptEnded { id: c.id, attempt: c.attempt, end }),
+                    );
                 }
             }
             (Kind::Work, Event::Down) => {
                 x.idle.values_mut().for_each(|idle| idle.retain(|c| *c != conn));
                 if let Some(c) = x.work.remove(&conn) {
-                    let reached = if c.sent { Reached::MayHaveRun } else { Reached::NeverRan };
-                    let end = End::Broken { reached };
-                    self.front(n, Some(front::Input::Ended { id: c.id, attempt: c.attempt, end }));
+                    let execution = if c.sent { Execution::MayHaveRun } else { Execution::NeverRan };
+                    let end = AttemptResult::Broken { execution };
+                    self.front(
+                        n,
+                        Some(dispatcher::Input::AttemptEnded { id: c.id, attempt: c.attempt, end }),
+                    );
                 }
             }
             _ => {}
         }
     }
 
-    fn front(&mut self, n: usize, input: Option<front::Input>) {
+    fn front(&mut self, n: usize, input: Option<dispatcher::Input>) {
         let Some(mut p) = self.proxies[n].take() else { return };
         let me = Owner::Proxy(n);
         self.at_work = Some((me, p.life));
         let now = p.clock(self.now);
-        let mut inputs: VecDeque<front::Input> = input.into_iter().collect();
+        let mut inputs: VecDeque<dispatcher::Input> = input.into_iter().collect();
         let mut out = Vec::new();
         while let Some(input) = inputs.pop_front() {
             p.machine.front.handle(now, input, &mut out);
@@ -682,8 +688,8 @@
         let rows = x.front.drill_rows(now);
         let tallies = x.front.tallies(now);
         let looks = x.asked_at.map_or(Micros::MAX, |_| now + LOOK);
-        if x.front.hurries() {
-            x.feed.hurry();
+        if x.front.wants_early_report() {
+            x.feed.report_soon();
         }
         let wake = x.front.wake_at().min(x.feed.wake_at()).min(x.watch.wake_at()).min(looks);
         self.wake(me, &mut p, wake);
@@ -732,8 +738,8 @@
         for (rev, change) in (1..).zip(changes) {
             state.apply(now, rev, &Command::Book(change));
         }
-        p.machine.front.hold_alone(now, &state);
-        self.front(n, Some(front::Input::Tick));
+        p.machine.front.apply_bookings(now, &state);
+        self.front(n, Some(dispatcher::Input::Tick));
     }
 
     /// Notes what is held of bookings, where that has changed.
@@ -757,12 +763,13 @@
         n: usize,
         (life, started): (u64, Micros),
         x: &mut Proxy,
-        output: front::Output,
-    ) -> Option<front::Input> {
+        output: dispatcher::Output,
+    ) -> Option<dispatcher::Input> {
         let me = Owner::Proxy(n);
         match output {
-            front::Output::Send(job) => {
-                let number: u64 = std::str::from_utf8(&job.name).expect("text").parse().expect("a number");
+            dispatcher::Output::Send(job) => {
+                let number: u64 =
+                    std::str::from_utf8(&job.attempt_id).expect("text").parse().expect("a number");
                 self.record.tries[number as usize].given = true;
                 let work = Rc::new(Work {
                     name: number,
@@ -774,8 +781,8 @@
                     life,
                 });
                 let Some(to) = x.peers.get(&job.server).and_then(|a| self.server_at(*a)) else {
-                    let end = End::Broken { reached: Reached::NeverRan };
-                    return Some(front::Input::Ended { id: job.id, attempt: job.attempt, end });
+                    let end = AttemptResult::Broken { execution: Execution::NeverRan };
+                    return Some(dispatcher::Input::AttemptEnded { id: job.id, attempt: job.attempt, end });
                 };
                 let kept = x.idle.get_mut(&job.server).filter(|_| !job.again).and_then(Vec::pop);
                 let conn = kept.unwrap_or_else(|| self.dial(Kind::Work, me, Owner::Server(to)));
@@ -788,14 +795,14 @@
                     Carried { id, attempt, server, work, sent: kept.is_some(), surplus: false },
                 );
             }
-            front::Output::GiveUp { id, attempt, .. } => {
+            dispatcher::Output::CancelAttempt { id, attempt, .. } => {
                 let found = x.work.iter().find(|(_, c)| c.id == id && c.attempt == attempt).map(|(c, _)| *c);
                 if let Some(conn) = found {
                     x.work.remove(&conn);
                     self.close(conn, me);
                 }
             }
-            front::Output::Answer(id, answer) => {
+            dispatcher::Output::Answer(id, answer) => {
                 if x.open.remove(&id).is_some() {
                     self.send(id, me, Body::Answer(Rc::new(answer)));
                     if x.asked_at.is_some() {
@@ -805,29 +812,29 @@
                     }
                 }
             }
-            front::Output::Cut(id, _) | front::Output::Close(id) => {
+            dispatcher::Output::Cut(id, _) | dispatcher::Output::Close(id) => {
                 if x.open.remove(&id).is_some() {
                     x.clients.remove(&id);
                     self.close(id, me);
                 }
             }
-            front::Output::Slow(id, answer, us) => {
+            dispatcher::Output::Slow(id, answer, us) => {
                 if x.open.remove(&id).is_some() {
                     self.at(self.now + us, Ev::Slowly(n, life, id, Rc::new(answer)));
                 }
             }
-            front::Output::Rehearsed { name, met, .. } => {
-                let attempt = std::str::from_utf8(&name).expect("text").parse().expect("a number");
+            dispatcher::Output::DrillFault { attempt_id, met, .. } => {
+                let attempt = std::str::from_utf8(&attempt_id).expect("text").parse().expect("a number");
                 let drills = &x.front.copy.state.drills.0;
                 let name = drills.values().find(|h| h.epoch == met.epoch).map(|h| h.drill.name.as_str());
                 let of = self.record.rehearsals.iter().position(|r| Some(r.drill.name.as_str()) == name);
                 let (at, edge, of) = (self.now, self.host_of(me), of.expect("an operator's drill"));
                 self.record.met.push(record::Met { attempt, at, edge, of });
             }
-            front::Output::Server { server, peer, .. } => {
+            dispatcher::Output::Server { server, peer, .. } => {
                 x.peers.insert(server, peer.addr);
             }
-            front::Output::Gone { server } => {
+            dispatcher::Output::ServerRemoved { server } => {
                 x.peers.remove(&server);
                 for conn in x.idle.remove(&server).unwrap_or_default() {
                     self.close(conn, me);
@@ -841,10 +848,10 @@
     fn show(&mut self, p: &mut Process<Proxy>) -> bool {
         let now = p.clock(self.now);
         let x = &mut p.machine;
-        let ready = x.front.ready() && x.feed.was_fresh() && x.asked_at.is_none();
+        let ready = x.front.ready() && x.feed.has_been_fresh() && x.asked_at.is_none();
         if x.feed.ready != ready {
             x.feed.ready = ready;
-            x.feed.hurry();
+            x.feed.report_soon();
         }
         let Some(asked_at) = x.asked_at else { return false };
         let late = now >= asked_at + self.record.bounds.grace.saturating_sub(SPARE);
@@ -866,16 +873,16 @@
             self.at_work = Some((me, p.life));
             let now = p.clock(self.now);
             let x = &mut p.machine;
-            if x.feed.reports(now) {
-                x.feed.uses(x.front.uses(now));
+            if x.feed.report_due(now) {
+                x.feed.set_usage(x.front.tenant_usage(now));
             }
             let mut out = Vec::new();
             x.feed.handle(now, input, &x.front.copy, &mut out);
-            x.front.fresh(now, x.feed.fresh_at());
+            x.front.set_fresh_at(now, x.feed.fresh_at());
             let mut fronts = Vec::new();
             for output in out {
                 match output {
-                    feed::Output::Link { link, ip, relay } => {
+                    feed::Output::Connect { link, ip, relay } => {
                         let conn = match relay {
                             true => self.relay_at(ip).map(|to| self.dial(Kind::Relay, me, Owner::Proxy(to))),
                             false => {
@@ -884,47 +891,47 @@
                         };
                         x.lines.extend(conn.map(|conn| (link, conn)));
                     }
-                    feed::Output::Unlink(link) => {
+                    feed::Output::Disconnect(link) => {
                         if let Some(conn) = x.lines.remove(&link) {
                             self.close(conn, me);
                         }
                     }
-                    feed::Output::Say(link, up) => {
+                    feed::Output::SendUp(link, up) => {
                         if let Some(conn) = x.lines.get(&link) {
                             self.send(*conn, me, frame(&up));
                         }
                         self.watch(n, x, now, true);
                     }
-                    feed::Output::Tell(conn, down) => {
+                    feed::Output::SendDown(conn, down) => {
                         if x.followers.contains(&conn) {
                             self.send(conn, me, frame(&down));
                         }
                     }
-                    feed::Output::Refuse(conn) => {
+                    feed::Output::DropFollower(conn) => {
                         if x.followers.remove(&conn) {
                             self.close(conn, me);
                         }
                     }
                     feed::Output::Meter(readings, made_at) => {
-                        fronts.push(front::Input::Meter(readings, made_at));
+                        fronts.push(dispatcher::Input::Meter(readings, made_at));
                     }
                     feed::Output::Leases(leases, made_at) => {
                         if self.one_node.is_none_or(|one| one == n) {
-                            fronts.push(front::Input::Leases(leases, made_at));
+                            fronts.push(dispatcher::Input::Leases(leases, made_at));
                         }
                     }
-                    feed::Output::News(news) => fronts.push(front::Input::News(news)),
+                    feed::Output::News(news) => fronts.push(dispatcher::Input::News(news)),
                 }
             }
             self.proxies[n] = Some(p);
             self.at_work = None;
             for input in fronts {
-                let news = matches!(input, front::Input::News(_));
+                let news = matches!(input, dispatcher::Input::News(_));
                 self.front(n, Some(input));
                 if let Some(p) = self.proxies[n].as_mut().filter(|_| news) {
                     let now = p.started;
-                    p.machine.watch.known(self.now - now, &p.machine.front.copy.state.nodes);
-                    inputs.push_back(feed::Input::Changed);
+                    p.machine.watch.set_nodes(self.now - now, &p.machine.front.copy.state.nodes);
+                    inputs.push_back(feed::Input::CopyChanged);
                 }
             }
         }
@@ -936,32 +943,32 @@
         if let Owner::Proxy(n) = owner
             && let Some(p) = &mut self.proxies[n]
         {
-            p.machine.feed.reseed(self.seeds.clone());
+            p.machine.feed.set_seeds(self.seeds.clone());
         }
     }
 
     /// Tells the watchers that this proxy is there, if it is time.
     fn watch(&mut self, n: usize, x: &mut Proxy, now: Micros, soon: bool) {
-        let Some((here, watchers)) = x.watch.round(now, soon) else { return };
+        let Some((here, watchers)) = x.watch.next_heartbeat(now, soon) else { return };
         for ip in watchers {
             if let Some(to) = self.relay_at(*ip) {
                 self.datagram(n, to, here);
             }
         }
-        x.feed.suspects(x.watch.suspects());
+        x.feed.set_suspects(x.watch.suspects());
     }
 
     pub fn here(&mut self, from: usize, to: usize, here: Here) {
         let ip = self.hosts[self.host_of(Owner::Proxy(from))].ip;
         if let Some(p) = &mut self.proxies[to] {
             let now = p.clock(self.now);
-            p.machine.watch.heard(now, ip, here);
+            p.machine.watch.heartbeat_received(now, ip, here);
         }
     }
 
     /// What the shell does when only time has passed.
     fn turn(&mut self, n: usize) {
-        self.front(n, Some(front::Input::Tick));
+        self.front(n, Some(dispatcher::Input::Tick));
         if let Some(mut p) = self.proxies[n].take() {
             let now = p.clock(self.now);
             self.watch(n, &mut p.machine, now, false);
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -7,7 +7,7 @@
 use cluster::talk::{Down, Gossip, News, Reading, Up, Usage, Use, tenant_key};
 use miette::{Result, miette};
 use nix::time::{ClockId, clock_gettime};
-use proxy::front::{Front, Input};
+use proxy::dispatcher::{Dispatcher, Input};
 use proxy::reservations::BookingTimes;
 use proxy::routing_view::{Leeway, ProxySettings};
 use registry::meter::Meter;
@@ -201,7 +201,7 @@
 }
 
 /// A proxy that knows nothing yet.
-fn blank() -> Front {
+fn blank() -> Dispatcher {
     let me = node(0);
     let leeway = Leeway { excess: 0.1, margin: 20.0, period_s: 5.0, retry_ratio: 0.2, retry_slack: 60.0 };
     let zones = ZONES.iter().map(|z| (z.0.into(), z.1.into())).collect();
@@ -216,7 +216,7 @@
         booking_times: BookingTimes::default(),
         exposure,
     };
-    Front::new(place, BEAT_US, 1, 0)
+    Dispatcher::new(place, BEAT_US, 1, 0)
 }
 
 fn proxy(w: &mut Weighed, heap: &PeakAlloc, written: Vec<u8>, patch: Command) -> Result<()> {
