--- a/crates/lab/src/gateways.rs
+++ b/crates/lab/src/gateways.rs
@@ -177,11 +177,12 @@
         self.child().as_ref().and_then(|c| c.id()).map(|id| Pid::from_raw(id as i32))
     }
 
-    /// SIGKILL, at once.
+    /// SIGKILL, at once. The recorded time is read before the signal is sent, so that no client sees its connection end
+    /// before that time.
     pub fn kill(&self, clock: &Clock, rec: &Recorder) {
         if let Some(mut child) = self.child().take() {
-            let _ = child.start_kill();
             let at = clock.now();
+            let _ = child.start_kill();
             self.set_up(|u| *u = Up { healthy: false, died_at: Some(at) });
             rec.gateway(GatewayRow::event(at, self.index, "killed"));
         }
