--- a/crates/registry/tests/outward_names.rs
+++ b/crates/registry/tests/outward_names.rs
@@ -214,7 +214,7 @@
 /// So many that there is room to be booked when one of the zones is lost.
 fn servers_of_two_zones() -> Command {
     let one = |n: u8| {
-        let zone = if n % 2 == 0 { "north-a" } else { "south-a" };
+        let zone = ["north-a", "south-a"][usize::from(n % 2)];
         ServerChange::Up(Server {
             id: format!("room-{n}"),
             service: "heron".into(),
