--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -6,7 +6,7 @@
 use cluster::{Micros, Rev};
 use proxy::feed::{Feed, Input, Output};
 use proxy::tree;
-use registry::board::{self, Board, Terms};
+use registry::control_plane::{self, Board, Terms};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -95,9 +95,9 @@
             };
             let mut board = Board::new(terms, world.now);
             let mut out = Vec::new();
-            board.handle(world.now, board::Input::StoreUp, &mut out);
+            board.handle(world.now, control_plane::Input::StoreUp, &mut out);
             let standing = stands(&ips, *me, world.now);
-            board.handle(world.now, board::Input::Store(standing), &mut out);
+            board.handle(world.now, control_plane::Input::Store(standing), &mut out);
             world.boards.insert(*me, board);
         }
         for last in 1..=proxies {
@@ -127,12 +127,12 @@
         self.rev += 1;
         let run = News::Run { from: self.rev - 1, to: self.rev, commands: vec![(self.rev, command)] };
         for ip in self.boards.keys().copied().collect::<Vec<_>>() {
-            self.board(ip, board::Input::Store(FromStore::News(run.clone())));
+            self.board(ip, control_plane::Input::Store(FromStore::News(run.clone())));
         }
         self.rev
     }
 
-    fn board(&mut self, ip: Ipv4Addr, input: board::Input) {
+    fn board(&mut self, ip: Ipv4Addr, input: control_plane::Input) {
         if self.frozen.contains(&ip) {
             return;
         }
@@ -140,16 +140,16 @@
         self.boards.get_mut(&ip).unwrap().handle(self.now, input, &mut out);
         for output in out {
             match output {
-                board::Output::Proxy(link, down) => self.down(link, down),
-                board::Output::Peer(to, gossip) => self.post(MS, Event::Peer(to, gossip)),
-                board::Output::Store(ToStore::Propose { ticket, command }) => {
+                control_plane::Output::Proxy(link, down) => self.down(link, down),
+                control_plane::Output::Peer(to, gossip) => self.post(MS, Event::Peer(to, gossip)),
+                control_plane::Output::Store(ToStore::Propose { ticket, command }) => {
                     let rev = self.commit(command);
                     let result = Ok((rev, cluster::state::Done::Taken));
-                    self.board(ip, board::Input::Store(FromStore::Proposed { ticket, result }));
+                    self.board(ip, control_plane::Input::Store(FromStore::Proposed { ticket, result }));
                 }
-                board::Output::Store(ToStore::Stand { asked }) => {
+                control_plane::Output::Store(ToStore::Stand { asked }) => {
                     let core: Vec<Ipv4Addr> = self.boards.keys().copied().collect();
-                    self.board(ip, board::Input::Store(stands(&core, ip, asked)));
+                    self.board(ip, control_plane::Input::Store(stands(&core, ip, asked)));
                 }
                 _ => {}
             }
@@ -251,17 +251,17 @@
             Event::Up(link, up) => {
                 let Some((_, to)) = ends(self, link) else { return };
                 if self.boards.contains_key(&to) {
-                    self.board(to, board::Input::Proxy(link, up));
+                    self.board(to, control_plane::Input::Proxy(link, up));
                 } else {
                     self.proxy(to, Input::Below(link, up));
                 }
             }
             Event::ChildLoses(wire) => self.proxy(wire.child.0, Input::Broken(wire.child.1)),
             Event::OtherLoses(link, wire) if self.boards.contains_key(&wire.to) => {
-                self.board(wire.to, board::Input::ProxyDown(link));
+                self.board(wire.to, control_plane::Input::ProxyDown(link));
             }
             Event::OtherLoses(link, wire) => self.proxy(wire.to, Input::BelowGone(link)),
-            Event::Peer(to, gossip) => self.board(to, board::Input::Peer(gossip)),
+            Event::Peer(to, gossip) => self.board(to, control_plane::Input::Peer(gossip)),
         }
     }
 
@@ -284,7 +284,7 @@
                 self.deliver(event);
             } else if let Some((_, ip)) = wake {
                 if self.boards.contains_key(&ip) {
-                    self.board(ip, board::Input::Tick);
+                    self.board(ip, control_plane::Input::Tick);
                 } else {
                     self.proxy(ip, Input::Tick);
                 }
--- a/crates/registry/src/board.rs
+++ b/crates/registry/src/control_plane.rs
@@ -10,7 +10,7 @@
 use crate::meter::Meter;
 use crate::presence::Presence;
 use crate::rollouts::Tallies;
-use crate::show::View;
+use crate::views::View;
 use cluster::copy::{Copy, Took};
 use cluster::drill::{DrillChange, Rows, Said};
 use cluster::follow::Followers;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,10 +1,10 @@
-//! The registry. Its decisions stand in [`board`]; `main.rs` is the shell around them.
+//! The registry. Its decisions stand in [`control_plane`]; `main.rs` is the shell around them.
 
-pub mod board;
 pub mod bookings;
 pub mod calls;
+pub mod control_plane;
 pub mod drills;
 pub mod meter;
 pub mod presence;
 pub mod rollouts;
-pub mod show;
+pub mod views;
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,4 +1,4 @@
-//! The shell of the registry: listeners and links around `registry::board`. It takes the outside calls for the store of
+//! The shell of the registry: listeners and links around `registry::control_plane`. It takes the outside calls for the store of
 //! configuration too.
 
 use cluster::Rev;
@@ -8,8 +8,8 @@
 use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds};
 use net::limits::Held;
-use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
+use registry::control_plane::{Board, Input, Output, REPEAT_US, Terms};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use cluster::copy::Copy;
 use cluster::state::{Command, Done, Node, NodeChange, Server, ServerChange};
 use cluster::talk::{Down, FromStore, Gossip, News, Seen, ToStore, Unsure, Up, Usage};
-use registry::board::{Board, Input, Output, Terms};
 use registry::calls::Request;
+use registry::control_plane::{Board, Input, Output, Terms};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/registry/tests/board.rs
+++ b/crates/registry/tests/control_plane.rs
@@ -5,7 +5,7 @@
 use cluster::state::{Command, Done, ServerChange};
 use cluster::talk::{FromStore, News, ToStore, Unsure, Up};
 use common::*;
-use registry::board::{Input, Output};
+use registry::control_plane::{Input, Output};
 
 const A: &str = "10.9.2.1:80";
 
--- a/crates/registry/tests/cut_off.rs
+++ b/crates/registry/tests/cut_off.rs
@@ -5,7 +5,7 @@
 use cluster::state::{Command, Done, NodeChange, ServerChange};
 use cluster::talk::{Down, FRESH_US, FromStore, Gossip, ToStore, Unsure, Up};
 use common::*;
-use registry::board::{Input, Output};
+use registry::control_plane::{Input, Output};
 
 const KNOWN: &str = "/api/instances/i-1";
 
--- a/crates/registry/tests/drills.rs
+++ b/crates/registry/tests/drills.rs
@@ -6,7 +6,7 @@
 use cluster::state::{Change, Command};
 use cluster::talk::{Down, Gossip, Lease, Up};
 use common::*;
-use registry::board::{Input, Output};
+use registry::control_plane::{Input, Output};
 
 fn registry() -> Registry {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
--- a/crates/registry/tests/meter.rs
+++ b/crates/registry/tests/meter.rs
@@ -6,7 +6,7 @@
 use cluster::state::{Change, Command};
 use cluster::talk::{Down, Reading, Up, Usage, Use, tenant_key};
 use common::*;
-use registry::board::{Input, Output};
+use registry::control_plane::{Input, Output};
 use registry::meter::Meter;
 
 fn commands() -> Vec<Command> {
--- a/crates/registry/tests/rollout_errors/main.rs
+++ b/crates/registry/tests/rollout_errors/main.rs
@@ -1,10 +1,10 @@
 //! How often the verdict on a new version is wrong, by playing many rollouts: good ones that are reverted or late, bad ones
 //! that are promoted or get more than they may. The table of docs/system/rollouts.md comes from the ignored test.
 
-mod play;
+mod simulation;
 
 use cluster::rollout::Stage;
-use play::{Bad, Outcome, Scene, Trouble, Version, When, play};
+use simulation::{Bad, Outcome, Scene, Trouble, Version, When, play};
 
 /// Constants of the verdict were chosen on the first seeds alone.
 const CHOSEN_ON: std::ops::Range<u64> = 0..40;
--- a/crates/registry/tests/rollouts.rs
+++ b/crates/registry/tests/rollouts.rs
@@ -6,7 +6,7 @@
 use cluster::state::{Change, Command, ServerChange};
 use cluster::talk::{FromStore, Up};
 use common::*;
-use registry::board::Input;
+use registry::control_plane::Input;
 
 const ORDER: &str = r#"{"service_ref":"heron","target_version":"v2","rollout_term_s":10}"#;
 const LINK: u64 = 5;
--- a/crates/registry/tests/show.rs
+++ b/crates/registry/tests/views.rs
@@ -3,8 +3,8 @@
 use cluster::state::{Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::{FromStore, News, Seen, Up};
 use jzon::JsonValue;
-use registry::board::{Board, Input, Output, Terms};
 use registry::calls::Request;
+use registry::control_plane::{Board, Input, Output, Terms};
 use std::net::Ipv4Addr;
 
 const ME: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 4);
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -17,7 +17,7 @@
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::watch::Watch;
-use registry::board::{self, Board, Terms};
+use registry::control_plane::{self, Board, Terms};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -171,7 +171,7 @@
             Owner::Registry(n) => {
                 let due = self.registries[n].as_ref().is_some_and(|p| p.wake <= self.now);
                 if due {
-                    self.registry(n, Some(board::Input::Tick));
+                    self.registry(n, Some(control_plane::Input::Tick));
                 }
             }
             Owner::Proxy(n) => {
@@ -225,7 +225,7 @@
                     sync_us: self.record.bounds.sync,
                     settle_us: self.record.bounds.config_apply,
                     zones_lost: 1,
-                    repeat_us: registry::board::REPEAT_US,
+                    repeat_us: registry::control_plane::REPEAT_US,
                 };
                 let board = Board::new(terms, 0);
                 let (store, peers, calls) = Default::default();
@@ -474,27 +474,29 @@
         let r = &mut p.machine;
         let input = match event {
             Event::Taken(_) => None,
-            Event::Up if kind == Some(Kind::Local) => r.store.rose(conn).then_some(board::Input::StoreUp),
+            Event::Up if kind == Some(Kind::Local) => {
+                r.store.rose(conn).then_some(control_plane::Input::StoreUp)
+            }
             Event::Up => {
                 r.peers.values_mut().any(|t| t.rose(conn));
                 None
             }
             Event::Got(Body::Call(request)) => {
                 r.calls.insert(conn);
-                Some(board::Input::Call(conn, (*request).clone()))
+                Some(control_plane::Input::Call(conn, (*request).clone()))
             }
             Event::Got(body) => match kind {
                 Some(Kind::Local) if r.store.up && r.store.conn == Some(conn) => {
-                    read::<FromStore>(&body).map(board::Input::Store)
+                    read::<FromStore>(&body).map(control_plane::Input::Store)
                 }
-                Some(Kind::Gossip) => read::<Gossip>(&body).map(board::Input::Peer),
-                Some(Kind::News) => read::<Up>(&body).map(|up| board::Input::Proxy(conn, up)),
+                Some(Kind::Gossip) => read::<Gossip>(&body).map(control_plane::Input::Peer),
+                Some(Kind::News) => read::<Up>(&body).map(|up| control_plane::Input::Proxy(conn, up)),
                 _ => None,
             },
             Event::Down => match kind {
-                Some(Kind::Local) => r.store.fell(clock, conn).then_some(board::Input::StoreDown),
-                Some(Kind::News) => Some(board::Input::ProxyDown(conn)),
-                Some(Kind::Call) => r.calls.remove(&conn).then_some(board::Input::CallGone(conn)),
+                Some(Kind::Local) => r.store.fell(clock, conn).then_some(control_plane::Input::StoreDown),
+                Some(Kind::News) => Some(control_plane::Input::ProxyDown(conn)),
+                Some(Kind::Call) => r.calls.remove(&conn).then_some(control_plane::Input::CallGone(conn)),
                 _ => {
                     r.peers.values_mut().for_each(|t| {
                         t.fell(clock, conn);
@@ -506,7 +508,7 @@
         self.registry(n, input);
     }
 
-    fn registry(&mut self, n: usize, input: Option<board::Input>) {
+    fn registry(&mut self, n: usize, input: Option<control_plane::Input>) {
         let Some(mut p) = self.registries[n].take() else { return };
         let me = Owner::Registry(n);
         self.at_work = Some((me, p.life));
@@ -520,17 +522,17 @@
         let r = &mut p.machine;
         for output in out {
             match output {
-                board::Output::Answer(id, answer) => {
+                control_plane::Output::Answer(id, answer) => {
                     if r.calls.remove(&id) {
                         self.send(id, me, Body::Called(Rc::new(answer)));
                     }
                 }
-                board::Output::Store(message) => {
+                control_plane::Output::Store(message) => {
                     if let Some(conn) = r.store.conn.filter(|_| r.store.up) {
                         self.send(conn, me, frame(&message));
                     }
                 }
-                board::Output::Peer(ip, gossip) => {
+                control_plane::Output::Peer(ip, gossip) => {
                     let tie = r.peers.entry(ip).or_default();
                     if let Some(conn) = tie.conn.filter(|_| tie.up) {
                         self.send(conn, me, frame(&gossip));
@@ -543,7 +545,7 @@
                         tie.conn = Some(self.dial(Kind::Gossip, me, Owner::Registry(to)));
                     }
                 }
-                board::Output::Proxy(link, down) => self.send(link, me, frame(&down)),
+                control_plane::Output::Proxy(link, down) => self.send(link, me, frame(&down)),
             }
         }
         if r.store.conn.is_none() && now >= r.store.again_at {
