--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -6,7 +6,7 @@
 use cluster::{Micros, Rev};
 use proxy::feed::{Feed, Input, Output};
 use proxy::tree;
-use registry::control_plane::{self, Board, Terms};
+use registry::control_plane::{self, ControlPlane, Parameters};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -60,7 +60,7 @@
     events: BTreeMap<(Micros, u64), Event>,
     numbers: u64,
     proxies: BTreeMap<Ipv4Addr, Proxy>,
-    boards: BTreeMap<Ipv4Addr, Board>,
+    boards: BTreeMap<Ipv4Addr, ControlPlane>,
     wires: BTreeMap<u64, Wire>,
     /// They say and hear nothing.
     frozen: BTreeSet<Ipv4Addr>,
@@ -82,18 +82,18 @@
         let ips: Vec<Ipv4Addr> = (1..=registries).map(core).collect();
         for me in &ips {
             let (zone, zones) = ("north-a".to_string(), zones());
-            let terms = Terms {
-                me: *me,
-                zone,
+            let parameters = Parameters {
+                own_ip: *me,
+                own_zone: zone,
                 zones,
-                beat_us: BEAT,
-                ttl_s: 5.0,
-                sync_us: 5 * SECOND,
-                settle_us: 2 * SECOND,
-                zones_lost: 1,
-                repeat_us: 10 * SECOND,
+                heartbeat_us: BEAT,
+                directory_ttl_s: 5.0,
+                max_sync_us: 5 * SECOND,
+                propagation_us: 2 * SECOND,
+                tolerated_zone_losses: 1,
+                order_repeat_us: 10 * SECOND,
             };
-            let mut board = Board::new(terms, world.now);
+            let mut board = ControlPlane::new(parameters, world.now);
             let mut out = Vec::new();
             board.handle(world.now, control_plane::Input::StoreUp, &mut out);
             let standing = stands(&ips, *me, world.now);
@@ -340,7 +340,7 @@
     world.reaches_all();
     // And the registries name them all.
     for board in world.boards.values() {
-        assert!(world.proxies.keys().all(|ip| board.presence.alive(world.now, &board.copy.state, *ip)));
+        assert!(world.proxies.keys().all(|ip| board.presence.is_alive(world.now, &board.copy.state, *ip)));
     }
 }
 
@@ -356,7 +356,7 @@
         for board in world.boards.values() {
             let lost: Vec<_> = world
                 .live()
-                .filter(|p| !board.presence.alive(world.now, &board.copy.state, p.node.ip))
+                .filter(|p| !board.presence.is_alive(world.now, &board.copy.state, p.node.ip))
                 .collect();
             assert!(lost.is_empty(), "{} and {} more are alive", lost[0].node.ip, lost.len() - 1);
         }
--- a/crates/proxy/tests/watch.rs
+++ b/crates/proxy/tests/watch.rs
@@ -103,7 +103,7 @@
     let ups = (1..=5).map(|n| NodeChange::Up(node(n))).collect();
     copy.apply(0, 1, Some(Command::Nodes(ups)));
     let mut presence = Presence::new(0, 3 * ROUND);
-    presence.known(0, &copy.state);
+    presence.sync_with_state(0, &copy.state);
     let seen = |n: u8, count, suspects: &[(Ipv4Addr, u64)]| Seen {
         ip: node(n).ip,
         life: 7,
@@ -113,16 +113,19 @@
         suspects: suspects.to_vec(),
     };
     for n in 1..=5 {
-        presence.seen(0, seen(n, 1, &[]));
+        presence.proxy_reported(0, seen(n, 1, &[]));
     }
     let (ip, now) = (node(1).ip, 1400 * MS);
-    presence.seen(now, seen(2, 2, &[(ip, 7)]));
-    presence.seen(now, seen(3, 2, &[(ip, 6)]));
-    assert!(presence.alive(now, &copy.state, ip), "one alone may be cut off; another means an earlier life");
-    presence.seen(now, seen(3, 3, &[(ip, 7)]));
-    assert!(!presence.alive(now, &copy.state, ip));
-    presence.seen(now, seen(1, 2, &[]));
-    assert!(presence.alive(now, &copy.state, ip), "it speaks for itself");
-    presence.seen(now, seen(3, 4, &[]));
-    assert!(presence.alive(now + 1400 * MS, &copy.state, ip), "not suspected by two any more");
+    presence.proxy_reported(now, seen(2, 2, &[(ip, 7)]));
+    presence.proxy_reported(now, seen(3, 2, &[(ip, 6)]));
+    assert!(
+        presence.is_alive(now, &copy.state, ip),
+        "one alone may be cut off; another means an earlier life"
+    );
+    presence.proxy_reported(now, seen(3, 3, &[(ip, 7)]));
+    assert!(!presence.is_alive(now, &copy.state, ip));
+    presence.proxy_reported(now, seen(1, 2, &[]));
+    assert!(presence.is_alive(now, &copy.state, ip), "it speaks for itself");
+    presence.proxy_reported(now, seen(3, 4, &[]));
+    assert!(presence.is_alive(now + 1400 * MS, &copy.state, ip), "not suspected by two any more");
 }
--- a/crates/registry/src/calls.rs
+++ b/crates/registry/src/calls.rs
@@ -51,7 +51,7 @@
                 "older than what is remembered, which is from {} on: perhaps it was taken; read what is current",
                 show_version(*from)
             )),
-            Done::Unbooked(why) => crate::bookings::unbooked(why),
+            Done::Unbooked(why) => crate::bookings::refusal_answer(why),
             Done::Declined(Declined::NoService) => Answer::error(404, "no such service in the configuration"),
             Done::Declined(Declined::UnderWay { target_version }) => {
                 Answer::error(409, &format!("a rollout to {target_version} is under way"))
@@ -66,7 +66,7 @@
 }
 
 /// Cold for longer than was known, by more than a call may be late.
-pub fn colder(server: &Server, now: Micros, left_ms: u32) -> bool {
-    const LATE_MS: u64 = 500;
-    left_ms > 0 && now + u64::from(left_ms) * 1000 > server.cold_until() + LATE_MS * 1000
+pub fn is_colder(server: &Server, now: Micros, left_ms: u32) -> bool {
+    const MAX_DELAY_MS: u64 = 500;
+    left_ms > 0 && now + u64::from(left_ms) * 1000 > server.cold_until() + MAX_DELAY_MS * 1000
 }
--- a/crates/registry/src/control_plane/booking.rs
+++ b/crates/registry/src/control_plane/booking.rs
@@ -1,7 +1,7 @@
 //! Calls on bookings, and the duty of turning and dividing them.
 
-use super::{Board, CALL_US, Output};
-use crate::bookings::{Ground, full, rounded, show, unbooked};
+use super::{CALL_TIMEOUT_US, ControlPlane, Output};
+use crate::bookings::{Capacity, booking_view, no_room_answer, refusal_answer, round_to_thousandths};
 use crate::calls::{Answer, Request};
 use cluster::booking::{BookChange, Booking, DayMs, Phase, Unbooked, Unused};
 use cluster::state::Command;
@@ -13,37 +13,37 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// A change on its way: its ticket, when it was sent, and where it has landed.
 #[derive(Default)]
-pub(super) struct UnderWay {
+pub(super) struct InFlight {
     sent: Option<(u64, u64)>,
-    landed: u64,
+    committed_rev: u64,
 }
 
-impl UnderWay {
+impl InFlight {
     /// Whether this was the ticket.
-    pub(super) fn ended(&mut self, ticket: u64, landed: Option<u64>) -> bool {
+    pub(super) fn take_result(&mut self, ticket: u64, committed: Option<u64>) -> bool {
         let ours = self.sent.is_some_and(|(t, _)| t == ticket);
         if ours {
             self.sent = None;
-            self.landed = landed.unwrap_or(self.landed);
+            self.committed_rev = committed.unwrap_or(self.committed_rev);
         }
         ours
     }
 }
 
-impl Board {
+impl ControlPlane {
     /// The time of day by this machine's clock; said before anything else is told.
-    pub fn tell_day(&mut self, now: u64, day_ms: DayMs) {
-        self.clocks.set(now, day_ms);
+    pub fn set_time_of_day(&mut self, now: u64, day_ms: DayMs) {
+        self.clocks.set_own(now, day_ms);
     }
 
     /// What the other registries are told of it.
-    pub(super) fn day_to_tell(&self) -> Option<DayMs> {
+    pub(super) fn time_of_day_to_gossip(&self) -> Option<DayMs> {
         let live = self.copy.state.bookings.values().any(|b| b.phase != Phase::Ended);
-        live.then(|| self.clocks.mine(self.now)).flatten()
+        live.then(|| self.clocks.own(self.now)).flatten()
     }
 
     pub(super) fn put_booking(
@@ -53,8 +53,8 @@
         request: &Request,
         out: &mut Vec<Output>,
     ) -> Option<Answer> {
-        let dry = match dry_run(&request.target) {
-            Ok(dry) => dry,
+        let dry_run_only = match dry_run(&request.target) {
+            Ok(dry_run_only) => dry_run_only,
             Err(why) => return Some(Answer::error(400, &why.to_string())),
         };
         let base = match request.if_match.as_deref().map(if_match) {
@@ -62,31 +62,31 @@
             Some(Some(epoch)) => u64::from(epoch),
             Some(None) => return Some(Answer::error(400, "If-Match: the epoch that this builds on")),
         };
-        let (booking, meant) = match self.asked(name, &request.body) {
+        let (booking, resolved) = match self.read_booking_request(name, &request.body) {
             Ok(found) => found,
             Err(answer) => return Some(answer),
         };
-        let Some((day_ms, _)) = self.clocks.read(self.now) else {
+        let Some((day_ms, _)) = self.clocks.median(self.now) else {
             return Some(Answer::unavailable("no time of day is known here"));
         };
         // What was taken already needs no room, whatever has become of it since.
         let known = self.copy.state.bookings.get(name);
-        let again = known.is_some_and(|k| k.booking == booking && !k.cancelled);
-        if !again && booking.closes_ms <= day_ms {
+        let unchanged = known.is_some_and(|k| k.booking == booking && !k.cancelled);
+        if !unchanged && booking.closes_ms <= day_ms {
             return Some(Answer::error(422, &format!("closes_ms: this window is over, it is {day_ms}")));
         }
-        let ground = Ground {
+        let capacity = Capacity {
             now: self.now,
             day_ms,
             state: &self.copy.state,
-            zones: &self.terms.zones,
-            zones_lost: self.terms.zones_lost,
+            zones: &self.parameters.zones,
+            tolerated_zone_losses: self.parameters.tolerated_zone_losses,
         };
-        let room = ground.room(&booking, meant.homes.as_ref());
-        if let Some(quota) = meant.quota_flight.filter(|_| !again) {
-            let free = ground.quota_free(&booking, quota);
+        let room = capacity.room(&booking, resolved.homes.as_ref());
+        if let Some(quota) = resolved.quota_flight.filter(|_| !unchanged) {
+            let free = capacity.quota_free(&booking, quota);
             if booking.flight > free {
-                return Some(full(
+                return Some(no_room_answer(
                     "more than the tenants' quotas bring, which a booking does not lift",
                     free,
                 ));
@@ -95,18 +95,18 @@
         let considered = self.copy.state.bookings.consider(&booking, base, room);
         match considered {
             // Another epoch may be on its way here: the log will say.
-            Err(Unbooked::Outdated { .. }) if !dry => {}
-            Err(why) => return Some(unbooked(&why)),
+            Err(Unbooked::Outdated { .. }) if !dry_run_only => {}
+            Err(why) => return Some(refusal_answer(&why)),
             Ok(()) => {}
         }
-        if dry {
+        if dry_run_only {
             let booked = self.copy.state.bookings.booked(&booking.service, &booking);
             return Some(Answer::json(
                 200,
                 jzon::object! {
                     dry_run: true,
                     flight_count: booking.flight,
-                    rate_per_s: rounded(booking.rate_s()),
+                    rate_per_s: round_to_thousandths(booking.rate_s()),
                     room_count: room,
                     booked_count: booked,
                     free_count: room.saturating_sub(booked),
@@ -114,35 +114,35 @@
                 .dump(),
             ));
         }
-        self.order(id, Command::Book(BookChange::Put { booking, base, room }), out)
+        self.propose_fenced(id, Command::Book(BookChange::Put { booking, base, room }), out)
     }
 
-    fn asked(&self, name: &str, body: &[u8]) -> Result<(Booking, Meant), Answer> {
+    fn read_booking_request(&self, name: &str, body: &[u8]) -> Result<(Booking, Meant), Answer> {
         let refused = |why: Trouble| {
             let status = if matches!(why, Trouble::NotJson(_)) { 400 } else { 422 };
             Answer::error(status, &why.to_string())
         };
-        if name.len() > LONGEST_NAME {
-            return Err(Answer::error(422, &format!("booking_name: longer than {LONGEST_NAME} bytes")));
+        if name.len() > MAX_NAME_BYTES {
+            return Err(Answer::error(422, &format!("booking_name: longer than {MAX_NAME_BYTES} bytes")));
         }
         let asked = Asked::read(body).map_err(refused)?;
         let Some(config) = &self.copy.state.config else {
             return Err(Answer::error(422, "service_ref: there is no configuration yet"));
         };
-        let meant = asked.under(config).map_err(refused)?;
+        let resolved = asked.under(config).map_err(refused)?;
         let booking = Booking {
             name: name.to_string(),
             tenants: asked.tenants,
             routes: asked.routes,
             service: asked.service,
-            flight: meant.flight,
-            residence_ms: meant.residence_ms,
+            flight: resolved.flight,
+            residence_ms: resolved.residence_ms,
             opens_ms: asked.opens_ms,
             closes_ms: asked.closes_ms,
             ramp_ms: asked.ramp_ms,
             unused: if asked.lend { Unused::Lend } else { Unused::Hold },
         };
-        Ok((booking, meant))
+        Ok((booking, resolved))
     }
 
     pub(super) fn cancel_booking(
@@ -155,25 +155,27 @@
         match dry_run(&request.target) {
             Err(why) => Some(Answer::error(400, &why.to_string())),
             Ok(true) => Some(self.read_booking(name)),
-            Ok(false) => self.order(id, Command::Book(BookChange::Cancel { name: name.to_string() }), out),
+            Ok(false) => {
+                self.propose_fenced(id, Command::Book(BookChange::Cancel { name: name.to_string() }), out)
+            }
         }
     }
 
     pub(super) fn list_bookings(&mut self) -> Answer {
-        let day_ms = self.clocks.read(self.now).map(|(day_ms, _)| day_ms);
-        let list: Vec<JsonValue> = self.copy.state.bookings.values().map(show).collect();
+        let day_ms = self.clocks.median(self.now).map(|(day_ms, _)| day_ms);
+        let list: Vec<JsonValue> = self.copy.state.bookings.values().map(booking_view).collect();
         self.view().answer(jzon::object! { day_ms: day_ms, booking_list: list })
     }
 
     pub(super) fn read_booking(&self, name: &str) -> Answer {
         let Some(b) = self.copy.state.bookings.get(name) else {
-            return unbooked(&Unbooked::Outdated { epoch: 0 });
+            return refusal_answer(&Unbooked::Outdated { epoch: 0 });
         };
         let view = self.view();
         let holders = self.copy.state.nodes.values().map(|n| {
-            let used = self.meter.use_of(self.now, b.booking.key(), n.ip);
+            let used = self.meter.usage_of(self.now, b.booking.key(), n.ip);
             let per_s = |n: u32| f64::from(n) / 1000.0;
-            let (revision, heard) = view.seen(n.ip);
+            let (revision, heard) = view.proxy_progress(n.ip);
             jzon::object! {
                 node_name: n.name.as_str(),
                 ip_address: n.ip.to_string(),
@@ -184,38 +186,42 @@
                 heard_ms_ago: heard,
             }
         });
-        let mut body = show(b);
+        let mut body = booking_view(b);
         body["holder_list"] = holders.collect::<Vec<_>>().into();
         view.answer(body)
     }
 
     /// What is due of the bookings. Only beside a leader that has led for long enough to have heard who is there, and by
     /// a time of day that a majority of the core has told.
-    pub(super) fn tend_bookings(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn advance_bookings(&mut self, out: &mut Vec<Output>) {
         if self.copy.state.bookings.is_empty() {
             return;
         }
-        self.duty.look(self.now, &self.copy.state.bookings);
-        let Some((day_ms, of)) = self.clocks.read(self.now) else { return };
-        if self.under_way_booked.sent.is_some_and(|(_, at)| self.now > at + 2 * CALL_US) {
-            self.under_way_booked.sent = None;
+        self.booking_scheduler.observe(self.now, &self.copy.state.bookings);
+        let Some((day_ms, of)) = self.clocks.median(self.now) else { return };
+        if self.booking_in_flight.sent.is_some_and(|(_, at)| self.now > at + 2 * CALL_TIMEOUT_US) {
+            self.booking_in_flight.sent = None;
         }
         let since = self.fresh_since.max(self.leads_since);
-        let settled = self.now > since + self.terms.beat_us && 2 * of > self.core.len();
-        let busy = self.under_way_booked.sent.is_some() || self.copy.rev() < self.under_way_booked.landed;
+        let settled = self.now > since + self.parameters.heartbeat_us && 2 * of > self.core.len();
+        let busy =
+            self.booking_in_flight.sent.is_some() || self.copy.rev() < self.booking_in_flight.committed_rev;
         if !(self.leads && self.is_fresh() && settled) || busy {
             return;
         }
         let state = &self.copy.state;
-        let alive = state.nodes.keys().filter(|ip| self.presence.alive(self.now, state, **ip));
+        let alive = state.nodes.keys().filter(|ip| self.presence.is_alive(self.now, state, **ip));
         let alive: BTreeSet<Ipv4Addr> = alive.copied().collect();
-        let wanted = |key, ip| self.meter.use_of(self.now, key, ip).map_or(0, |u| u.wanted);
-        let Some(change) = self.duty.due(self.now, day_ms, &state.bookings, &alive, wanted) else { return };
-        let ticket = self.on_duty(Command::Book(change), out);
-        self.under_way_booked.sent = Some((ticket, self.now));
+        let wanted = |key, ip| self.meter.usage_of(self.now, key, ip).map_or(0, |u| u.wanted);
+        let Some(change) = self.booking_scheduler.due(self.now, day_ms, &state.bookings, &alive, wanted)
+        else {
+            return;
+        };
+        let ticket = self.propose_as_leader(Command::Book(change), out);
+        self.booking_in_flight.sent = Some((ticket, self.now));
     }
 
-    pub(super) fn forget_booked(&mut self) {
-        self.under_way_booked.sent = None;
+    pub(super) fn forget_booking_in_flight(&mut self) {
+        self.booking_in_flight.sent = None;
     }
 }
--- a/crates/registry/src/control_plane/rollout.rs
+++ b/crates/registry/src/control_plane/rollout.rs
@@ -1,8 +1,8 @@
 //! Calls that concern rollouts, and the duty to decide on them.
 
-use super::{Board, Wait};
+use super::{Awaited, ControlPlane};
 use crate::calls::{Answer, Request};
-use crate::rollouts::{Ground, Step, Summary, TimeRange};
+use crate::rollouts::{Evaluation, Step, Summary, TimeRange};
 use cluster::Micros;
 use cluster::rollout::{Rollout, RolloutChange, Stage, Tally, tally_interval};
 use cluster::state::{Command, Server};
@@ -15,12 +15,12 @@
 use super::Output;
 
 /// What of the rollouts a call asks for, once the state has come far enough to tell.
-pub(super) enum Shown {
+pub(super) enum RolloutQuery {
     Of(String),
     All,
 }
 
-impl Board {
+impl ControlPlane {
     pub(super) fn start_rollout(
         &mut self,
         id: u64,
@@ -33,33 +33,39 @@
         };
         // A copy of the order may have been held up on its way: it is a new one only long after the end.
         let ended = self.copy.state.rollouts.0.get(&order.service).filter(|r| r.stage.is_over());
-        let held_up_us = self.terms.repeat_us.max(Micros::from(order.term_ms) * 1000).max(MIN_APART_US);
+        let held_up_us =
+            self.parameters.order_repeat_us.max(Micros::from(order.term_ms) * 1000).max(MIN_ORDER_REPEAT_US);
         let after = ended.filter(|r| r.stage_age_us(self.now) > held_up_us).map(|r| r.epoch);
-        self.order(id, Command::Rollout(RolloutChange::Start { order, after }), out)
+        self.propose_fenced(id, Command::Rollout(RolloutChange::Start { order, after }), out)
     }
 
     pub(super) fn stop_rollout(&mut self, id: u64, service: String, out: &mut Vec<Output>) -> Option<Answer> {
         if !self.copy.state.rollouts.0.contains_key(&service) {
             return Some(Answer::error(404, &format!("no rollout of {service:?}")));
         }
-        self.order(id, Command::Rollout(RolloutChange::Stop { service }), out)
+        self.propose_fenced(id, Command::Rollout(RolloutChange::Stop { service }), out)
     }
 
     /// Told by a state that holds all that is acknowledged by now.
-    pub(super) fn show_rollouts(&mut self, id: u64, shown: Shown, out: &mut Vec<Output>) -> Option<Answer> {
-        let ticket = self.ticket();
+    pub(super) fn show_rollouts(
+        &mut self,
+        id: u64,
+        query: RolloutQuery,
+        out: &mut Vec<Output>,
+    ) -> Option<Answer> {
+        let ticket = self.next_ticket();
         out.push(Output::Store(ToStore::Read { ticket }));
-        self.wait(id, Wait::Rollouts { ticket, at: None, shown })
+        self.await_result(id, Awaited::Rollouts { ticket, at: None, query })
     }
 
-    pub(super) fn rollouts_shown(&self, shown: &Shown) -> Answer {
+    pub(super) fn rollouts_answer(&self, query: &RolloutQuery) -> Answer {
         let rollouts = &self.copy.state.rollouts.0;
-        match shown {
-            Shown::Of(service) => match rollouts.get(service) {
+        match query {
+            RolloutQuery::Of(service) => match rollouts.get(service) {
                 Some(rollout) => Answer::json(200, self.rollout_view(rollout).dump()),
                 None => Answer::error(404, &format!("no rollout of {service:?}")),
             },
-            Shown::All => {
+            RolloutQuery::All => {
                 let list: Vec<JsonValue> = rollouts.values().map(|r| self.rollout_view(r)).collect();
                 Answer::json(200, jzon::object! { rollout_list: list }.dump())
             }
@@ -100,40 +106,41 @@
         }
     }
 
-    pub(super) fn take_tallies(&mut self, tallies: Vec<Tally>, told: bool) {
+    pub(super) fn take_tallies(&mut self, tallies: Vec<Tally>, gossiped: bool) {
         for tally in tallies {
-            self.tallies.take(self.now, tally, told);
+            self.tallies.take(self.now, tally, gossiped);
         }
     }
 
     /// Beside the leader: takes the rollouts a step further.
-    pub(super) fn tend_rollouts(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn advance_rollouts(&mut self, out: &mut Vec<Output>) {
         if self.copy.state.rollouts.is_empty() {
             return;
         }
-        self.tallies.keep(&self.copy.state.rollouts);
+        self.tallies.retain_running(&self.copy.state.rollouts);
         if !(self.leads && self.is_fresh()) {
             return;
         }
         for command in self.rollout_steps() {
-            self.on_duty(command, out);
+            self.propose_as_leader(command, out);
         }
     }
 
     fn rollout_steps(&self) -> Vec<Command> {
         let state = &self.copy.state;
         let proxies: Vec<Ipv4Addr> = state.nodes.keys().copied().collect();
-        let ground = Ground {
+        let evaluation = Evaluation {
             now: self.now,
             tallies: &self.tallies,
             proxies: &proxies,
-            tally_us: tally_interval(self.terms.beat_us, proxies.len()),
-            settle_us: self.terms.settle_us,
+            tally_us: tally_interval(self.parameters.heartbeat_us, proxies.len()),
+            propagation_us: self.parameters.propagation_us,
         };
         // A registry that has just come to lead has not been told yet what the others heard: it takes no version further.
-        let told = self.now >= self.fresh_since.max(self.leads_since) + self.terms.beat_us;
+        let informed = self.now >= self.fresh_since.max(self.leads_since) + self.parameters.heartbeat_us;
         let advance = |rollout: &Rollout| {
-            let Step { to, reason } = ground.step(rollout).filter(|s| told || s.to == Stage::Reverted)?;
+            let Step { to, reason } =
+                evaluation.step(rollout).filter(|s| informed || s.to == Stage::Reverted)?;
             let (service, epoch) = (rollout.order.service.clone(), rollout.epoch);
             Some(Command::Rollout(RolloutChange::Advance { service, epoch, to, reason }))
         };
@@ -147,6 +154,6 @@
 }
 
 /// The same order as that of a rollout that has ended is a repeat for so long at the least.
-const MIN_APART_US: Micros = 60_000_000;
+const MIN_ORDER_REPEAT_US: Micros = 60_000_000;
 /// How long an operator may repeat an order, where the settings do not tell.
-pub const REPEAT_US: Micros = 10_000_000;
+pub const DEFAULT_ORDER_REPEAT_US: Micros = 10_000_000;
--- a/crates/registry/src/drills.rs
+++ b/crates/registry/src/drills.rs
@@ -7,18 +7,18 @@
 use std::collections::BTreeMap;
 
 /// A drill of which nobody can tell the end is ended after so many beats.
-const BEATS_LOST: Micros = 4;
+const UNKNOWN_END_HEARTBEATS: Micros = 4;
 
 #[derive(Default)]
 pub struct Leases {
     ends: BTreeMap<Rev, Micros>,
     /// Those without an end, and since when.
-    lost: BTreeMap<Rev, Micros>,
+    unknown_end_since: BTreeMap<Rev, Micros>,
 }
 
 impl Leases {
     /// An end that was heard of; only the first that is can be later than what was known.
-    pub fn hear(&mut self, epoch: Rev, ends: Micros) {
+    pub fn learn(&mut self, epoch: Rev, ends: Micros) {
         let known = self.ends.entry(epoch).or_insert(ends);
         *known = ends.min(*known);
     }
@@ -29,7 +29,7 @@
     }
 
     /// What others are to be told.
-    pub fn tell(&self, now: Micros, drills: &Drills) -> Vec<Lease> {
+    pub fn to_gossip(&self, now: Micros, drills: &Drills) -> Vec<Lease> {
         let left = |epoch: Rev| {
             // Rounded up: told to and fro, an end would creep nearer else.
             let ms = self.ends.get(&epoch)?.saturating_sub(now).div_ceil(1000);
@@ -39,24 +39,28 @@
     }
 
     /// Those whose time is up, and those of which nobody can tell. For the registry beside the leader.
-    pub fn over(&mut self, now: Micros, beat_us: Micros, drills: &Drills) -> Vec<DrillChange> {
+    pub fn expired(&mut self, now: Micros, heartbeat_us: Micros, drills: &Drills) -> Vec<DrillChange> {
         let running: BTreeMap<Rev, &str> =
             drills.running().map(|h| (h.epoch, h.drill.name.as_str())).collect();
         self.ends.retain(|epoch, ends| running.contains_key(epoch) || *ends > now);
-        self.lost.retain(|epoch, _| running.contains_key(epoch) && !self.ends.contains_key(epoch));
-        let mut over = Vec::new();
+        self.unknown_end_since
+            .retain(|epoch, _| running.contains_key(epoch) && !self.ends.contains_key(epoch));
+        let mut expired = Vec::new();
         for (epoch, name) in running {
             let why = match self.ends.get(&epoch) {
                 Some(ends) if *ends <= now => "its time was up",
                 Some(_) => continue,
-                None if now > *self.lost.entry(epoch).or_insert(now) + BEATS_LOST * beat_us => {
+                None if now
+                    > *self.unknown_end_since.entry(epoch).or_insert(now)
+                        + UNKNOWN_END_HEARTBEATS * heartbeat_us =>
+                {
                     "nobody could tell its end any more"
                 }
                 None => continue,
             };
             let (name, why) = (name.to_string(), why.to_string());
-            over.push(DrillChange::Stop { name, epoch: Some(epoch), why });
+            expired.push(DrillChange::Stop { name, epoch: Some(epoch), why });
         }
-        over
+        expired
     }
 }
--- a/crates/registry/src/meter.rs
+++ b/crates/registry/src/meter.rs
@@ -11,41 +11,46 @@
 use std::net::Ipv4Addr;
 
 /// Reports hold for so many times the time between two of them.
-const HOLD: Micros = 3;
-/// Time over which sums are evened out, and how many roots of a sum a rise must come to for being taken at once.
-const STEADY_US: f64 = 1_500_000.0;
-const CHANCE: f64 = 3.0;
+const REPORT_VALID_INTERVALS: Micros = 3;
+/// Time over which smoothed_use are evened out, and how many roots of a sum a rise must come to for being taken at once.
+const SMOOTHING_US: f64 = 1_500_000.0;
+const SUDDEN_RISE_ROOTS: f64 = 3.0;
 /// A rise at one proxy that is more than chance: twice what it was, and so much in thousandths of a request a second.
-const RISE: u32 = 4_000;
+const MIN_RISE_MILLI_PER_S: u32 = 4_000;
 /// So many of so many proxies are most of them.
-const MOST: (usize, usize) = (3, 4);
+const MOST_PROXIES: (usize, usize) = (3, 4);
 /// More than so many times its rate is wanted of a tenant in a flood.
-const FLOOD: f64 = 1.05;
+const FLOOD_FACTOR: f64 = 1.05;
 
 struct Report {
     usage: Usage,
     heard_at: Micros,
-    told: bool,
+    gossiped: bool,
 }
 
 pub struct Meter {
-    every_us: Micros,
+    report_interval_us: Micros,
     reports: BTreeMap<Ipv4Addr, Report>,
     /// By tenant: when it was last read, and the mean of what was used.
-    sums: HashMap<u32, (Micros, f64)>,
+    smoothed_use: HashMap<u32, (Micros, f64)>,
     /// By tenant with a quota: what is reported to be wanted, and from where on that is a flood.
-    floods: HashMap<u32, (u64, u64)>,
+    flood_sums: HashMap<u32, (u64, u64)>,
 }
 
 impl Meter {
-    /// `every_us`: how often proxies report.
-    pub fn new(every_us: Micros) -> Meter {
-        Meter { every_us, reports: BTreeMap::new(), sums: HashMap::new(), floods: HashMap::new() }
+    /// `report_interval_us`: how often proxies report.
+    pub fn new(report_interval_us: Micros) -> Meter {
+        Meter {
+            report_interval_us,
+            reports: BTreeMap::new(),
+            smoothed_use: HashMap::new(),
+            flood_sums: HashMap::new(),
+        }
     }
 
     /// A report, from the proxy itself or by another registry (`told`). An older one than is known is passed over. True
     /// if it tells of a rise that others should hear of at once.
-    pub fn take(&mut self, now: Micros, usage: Usage, told: bool) -> bool {
+    pub fn take(&mut self, now: Micros, usage: Usage, gossiped: bool) -> bool {
         let known = self.reports.get(&usage.ip);
         if known.is_some_and(|k| k.usage.life == usage.life && k.usage.count >= usage.count) {
             return false;
@@ -54,26 +59,27 @@
             let uses = known.iter().flat_map(|k| &k.usage.tenants);
             uses.filter(|u| u.tenant == tenant).map(|u| u.wanted).sum::<u32>()
         };
-        let rises = |u: &Use| u.wanted > before(u.tenant).saturating_mul(2).saturating_add(RISE);
-        let rises = usage.tenants.iter().any(rises) | self.floods_now(&usage);
-        self.reports.insert(usage.ip, Report { usage, heard_at: now, told });
+        let rises =
+            |u: &Use| u.wanted > before(u.tenant).saturating_mul(2).saturating_add(MIN_RISE_MILLI_PER_S);
+        let rises = usage.tenants.iter().any(rises) | self.starts_flood(&usage);
+        self.reports.insert(usage.ip, Report { usage, heard_at: now, gossiped });
         rises
     }
 
     /// Whether a report makes what is wanted of a tenant a flood, which it was not before.
-    fn floods_now(&mut self, usage: &Usage) -> bool {
+    fn starts_flood(&mut self, usage: &Usage) -> bool {
         let before = self.reports.get(&usage.ip).into_iter().flat_map(|r| &r.usage.tenants);
         let mut was: HashMap<u32, u64> = before.map(|u| (u.tenant, u64::from(u.wanted))).collect();
         let mut floods = false;
         for used in &usage.tenants {
             let was = was.remove(&used.tenant).unwrap_or(0);
-            let Some((sum, from)) = self.floods.get_mut(&used.tenant) else { continue };
+            let Some((sum, from)) = self.flood_sums.get_mut(&used.tenant) else { continue };
             let now = (*sum + u64::from(used.wanted)).saturating_sub(was);
             floods |= *sum <= *from && now > *from;
             *sum = now;
         }
         for (tenant, wanted) in was {
-            if let Some((sum, _)) = self.floods.get_mut(&tenant) {
+            if let Some((sum, _)) = self.flood_sums.get_mut(&tenant) {
                 *sum = sum.saturating_sub(wanted);
             }
         }
@@ -82,35 +88,43 @@
 
     /// Whether most proxies are heard of, so that what is read tells how things stand: not just after the start of this
     /// registry.
-    pub fn hears_most(&self, now: Micros, state: &State) -> bool {
-        let heard =
-            |r: &&Report| now <= r.heard_at + HOLD * self.every_us && state.nodes.contains_key(&r.usage.ip);
+    pub fn hears_most_proxies(&self, now: Micros, state: &State) -> bool {
+        let heard = |r: &&Report| {
+            now <= r.heard_at + REPORT_VALID_INTERVALS * self.report_interval_us
+                && state.nodes.contains_key(&r.usage.ip)
+        };
         let heard = self.reports.values().filter(heard).count();
-        heard * MOST.1 >= state.nodes.len() * MOST.0
+        heard * MOST_PROXIES.1 >= state.nodes.len() * MOST_PROXIES.0
     }
 
     /// What was reported here since the last time, for the other registries.
-    pub fn news(&mut self) -> Vec<Usage> {
-        let fresh = self.reports.values_mut().filter(|r| !r.told);
+    pub fn take_unsent(&mut self) -> Vec<Usage> {
+        let fresh = self.reports.values_mut().filter(|r| !r.gossiped);
         fresh
             .map(|r| {
-                r.told = true;
+                r.gossiped = true;
                 r.usage.clone()
             })
             .collect()
     }
 
     /// Requests a second that were lately asked for a tenant, by the proxies that are heard of.
-    pub fn wanted(&self, now: Micros, tenant: &str) -> f64 {
+    pub fn demand_per_s(&self, now: Micros, tenant: &str) -> f64 {
         let key = tenant_key(tenant);
-        let heard = self.reports.values().filter(|r| now <= r.heard_at + HOLD * self.every_us);
+        let heard = self
+            .reports
+            .values()
+            .filter(|r| now <= r.heard_at + REPORT_VALID_INTERVALS * self.report_interval_us);
         let uses = heard.flat_map(|r| &r.usage.tenants).filter(|u| u.tenant == key);
         uses.fold(0.0, |sum, u| sum + f64::from(u.wanted) / 1000.0)
     }
 
     /// What a proxy that is heard of reports under a key.
-    pub fn use_of(&self, now: Micros, key: u32, ip: Ipv4Addr) -> Option<Use> {
-        let report = self.reports.get(&ip).filter(|r| now <= r.heard_at + HOLD * self.every_us)?;
+    pub fn usage_of(&self, now: Micros, key: u32, ip: Ipv4Addr) -> Option<Use> {
+        let report = self
+            .reports
+            .get(&ip)
+            .filter(|r| now <= r.heard_at + REPORT_VALID_INTERVALS * self.report_interval_us)?;
         report.usage.tenants.iter().find(|u| u.tenant == key).copied()
     }
 
@@ -119,25 +133,25 @@
         self.reports.retain(|ip, _| state.nodes.contains_key(ip));
         let Some(config) = &state.config else { return Vec::new() };
         let nodes = state.nodes.len().max(1);
-        let hold = HOLD * self.every_us;
+        let hold = REPORT_VALID_INTERVALS * self.report_interval_us;
         let mut uses: HashMap<u32, Vec<Use>> = HashMap::new();
-        let mut silent = nodes;
+        let mut unheard_proxies = nodes;
         for r in self.reports.values().filter(|r| now <= r.heard_at + hold) {
-            silent -= 1;
+            unheard_proxies -= 1;
             r.usage.tenants.iter().for_each(|u| uses.entry(u.tenant).or_default().push(*u));
         }
-        self.sums.retain(|tenant, _| uses.contains_key(tenant));
+        self.smoothed_use.retain(|tenant, _| uses.contains_key(tenant));
         let mut readings = Vec::with_capacity(uses.len());
         for t in config.tenants.iter().flatten().filter(|t| t.rate > 0.0) {
             let tenant = tenant_key(&t.name);
             let Some(uses) = uses.get(&tenant) else { continue };
-            let unheard = silent as f64 * t.rate / nodes as f64;
+            let unheard_rate = unheard_proxies as f64 * t.rate / nodes as f64;
             let sum = |of: fn(&Use) -> u32| uses.iter().map(|u| f64::from(of(u)) / 1000.0).sum::<f64>();
             let wanted = uses.iter().map(|u| u64::from(u.wanted)).sum();
-            self.floods.insert(tenant, (wanted, (FLOOD * t.rate * 1000.0) as u64));
-            let (all_wanted, all_used) = (sum(|u| u.wanted) + unheard, sum(|u| u.used) + unheard);
-            let (at, mean) = self.sums.entry(tenant).or_insert((now, all_used));
-            *mean = steady(*mean, all_used, now.saturating_sub(*at) as f64);
+            self.flood_sums.insert(tenant, (wanted, (FLOOD_FACTOR * t.rate * 1000.0) as u64));
+            let (all_wanted, all_used) = (sum(|u| u.wanted) + unheard_rate, sum(|u| u.used) + unheard_rate);
+            let (at, mean) = self.smoothed_use.entry(tenant).or_insert((now, all_used));
+            *mean = smoothed(*mean, all_used, now.saturating_sub(*at) as f64);
             *at = now;
             // Rounded once: with many proxies each part is only a few thousandths.
             let even = 1.0 / nodes as f64;
@@ -153,9 +167,9 @@
 
 /// A moving mean that follows at once what chance does not explain: requests that come by chance at a rate are seldom
 /// off by more than a few roots of it.
-fn steady(mean: f64, now: f64, passed_us: f64) -> f64 {
-    if now > mean + CHANCE * mean.max(1.0).sqrt() {
+fn smoothed(mean: f64, now: f64, passed_us: f64) -> f64 {
+    if now > mean + SUDDEN_RISE_ROOTS * mean.max(1.0).sqrt() {
         return now;
     }
-    mean + (now - mean) * (1.0 - (-passed_us / STEADY_US).exp())
+    mean + (now - mean) * (1.0 - (-passed_us / SMOOTHING_US).exp())
 }
--- a/crates/registry/src/rollouts/evidence.rs
+++ b/crates/registry/src/rollouts/evidence.rs
@@ -13,29 +13,29 @@
 use std::collections::BTreeSet;
 
 /// A good version may be reverted with this chance, were its servers alike.
-const FALSE_REVERT: f64 = 0.005;
+const FALSE_REVERT_CHANCE: f64 = 0.005;
 /// Differences that are borne: of failures, and of slow answers, as servers of one version differ.
 const FAILED_TOLERANCE: f64 = 0.03;
 const SLOW_TOLERANCE: f64 = 0.04;
 /// Bad versions are looked for whose share of bad answers is larger by these parts of what remains to all.
-const EXCESSES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
+const EXCESS_SHARES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
 /// Fewer bad answers than this are no reason to revert, or to wait.
-const MIN_BAD: u32 = 5;
-const MIN_DOUBTFUL: u32 = 3;
+const MIN_BAD_ANSWERS: u32 = 5;
+const MIN_DOUBTFUL_FAILED: u32 = 3;
 /// Likewise for slow answers, of which a good version has some.
 const MIN_DOUBTFUL_SLOW: u32 = 8;
 /// Evidence that is enough to wait: the likelihoods' ratio over any span of time, and over all of it.
-const DOUBT_ANY: f64 = 20.0;
-const DOUBT_WHOLE: f64 = 0.5;
+const DOUBT_ANY_SPAN: f64 = 20.0;
+const DOUBT_WHOLE_SPAN: f64 = 0.5;
 /// The old version's share is taken from as long a time as it takes to have so many of its answers.
-const MIN_OLD: u32 = 100;
+const MIN_OLD_ANSWERS: u32 = 100;
 /// As many answers of all routes count beside those of a route, so that one that is little used is not without an estimate.
-const PRIOR: f64 = 50.0;
+const PRIOR_ANSWERS: f64 = 50.0;
 /// The part of the old version's answers that take longest; answers are slow that take longer than those by so many buckets.
 const SLOW_PART: f64 = 0.25;
 const SLOW_BUCKETS: usize = 2;
 /// Fewer answers of the old version than this say nothing of times.
-const MIN_TIMES: u32 = 40;
+const MIN_TIMED_ANSWERS: u32 = 40;
 
 /// What speaks against a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
             let larger = tolerated + (1.0 - tolerated) * excess;
             bad * (larger / tolerated).ln() + good * ((1.0 - larger) / (1.0 - tolerated)).ln()
         };
-        log_sum(EXCESSES.map(of)) - (EXCESSES.len() as f64).ln()
+        log_sum(EXCESS_SHARES.map(of)) - (EXCESS_SHARES.len() as f64).ln()
     }
 }
 
@@ -112,13 +112,13 @@
 
     /// What of the old version is to be reckoned with over a span.
     fn old(&self, span: usize) -> Share {
-        let enough = self.old[span..].iter().find(|o| o.whole >= MIN_OLD).or(self.old.last());
+        let enough = self.old[span..].iter().find(|o| o.whole >= MIN_OLD_ANSWERS).or(self.old.last());
         enough.copied().unwrap_or_default()
     }
 }
 
 /// What a version's shares are held against.
-struct Trial<'s> {
+struct Comparison<'s> {
     spans: &'s Spans,
     /// Those of all routes, where these are of one.
     all: Option<&'s Spans>,
@@ -127,22 +127,22 @@
     what: &'static str,
 }
 
-impl<'s> Trial<'s> {
-    fn failing(spans: &'s Spans, all: Option<&'s Spans>) -> Trial<'s> {
-        let (tolerance, min_doubtful) = (FAILED_TOLERANCE, MIN_DOUBTFUL);
-        Trial { spans, all, tolerance, min_doubtful, what: "failed" }
+impl<'s> Comparison<'s> {
+    fn failed(spans: &'s Spans, all: Option<&'s Spans>) -> Comparison<'s> {
+        let (tolerance, min_doubtful) = (FAILED_TOLERANCE, MIN_DOUBTFUL_FAILED);
+        Comparison { spans, all, tolerance, min_doubtful, what: "failed" }
     }
 
-    fn slow(spans: &'s Spans) -> Trial<'s> {
+    fn slow(spans: &'s Spans) -> Comparison<'s> {
         let (tolerance, min_doubtful) = (SLOW_TOLERANCE, MIN_DOUBTFUL_SLOW);
-        Trial { spans, all: None, tolerance, min_doubtful, what: "were slow" }
+        Comparison { spans, all: None, tolerance, min_doubtful, what: "were slow" }
     }
 
     /// The largest share that is borne over a span.
     fn tolerated(&self, span: usize) -> f64 {
         let old = self.spans.old(span);
         let expected = match self.all.map(|all| all.old(span).upper()) {
-            Some(all) => all.max(old.upper_beside(PRIOR * all, PRIOR)),
+            Some(all) => all.max(old.upper_beside(PRIOR_ANSWERS * all, PRIOR_ANSWERS)),
             None => old.upper(),
         };
         (expected + self.tolerance).min(0.99)
@@ -152,7 +152,7 @@
 /// What was counted of a rollout, and how often it is looked at.
 pub(super) struct Evidence<'a> {
     pub(super) intervals: &'a [Interval],
-    pub(super) looks: f64,
+    pub(super) evaluations: f64,
     /// Differences that are borne besides the usual ones.
     pub(super) extra_tolerance: f64,
 }
@@ -161,17 +161,17 @@
     pub(super) fn finding(&self) -> Finding {
         let routes: BTreeSet<u32> = self.intervals.iter().flat_map(|i| i.routes.keys().copied()).collect();
         let tests = 1.0 + 2.0 * routes.len() as f64;
-        let bar = (self.looks.max(1.0) * tests / FALSE_REVERT).ln();
+        let threshold = (self.evaluations.max(1.0) * tests / FALSE_REVERT_CHANCE).ln();
         let failures = |r: &RouteTally| (failed(&r.old), failed(&r.new));
         let all = Spans::of(self.intervals, |i| sum(i.routes.values().map(failures)));
-        let mut findings = vec![self.judge(Trial::failing(&all, None), bar)];
+        let mut findings = vec![self.evaluate(Comparison::failed(&all, None), threshold)];
         for route in routes {
             let on_route = |i: &Interval| i.routes.get(&route).map(failures).unwrap_or_default();
             let spans = Spans::of(self.intervals, on_route);
-            findings.push(self.judge(Trial::failing(&spans, Some(&all)), bar));
+            findings.push(self.evaluate(Comparison::failed(&spans, Some(&all)), threshold));
             // Times of several routes are not alike, so these are compared route by route alone.
             if let Some(spans) = self.slow_spans(route) {
-                findings.push(self.judge(Trial::slow(&spans), bar));
+                findings.push(self.evaluate(Comparison::slow(&spans), threshold));
             }
         }
         let bad = findings.iter().position(|f| matches!(f, Finding::Bad(_)));
@@ -179,8 +179,11 @@
         worst.map_or(Finding::Nothing, |n| findings.swap_remove(n))
     }
 
-    fn judge(&self, trial: Trial, bar: f64) -> Finding {
-        judge(&Trial { tolerance: trial.tolerance + self.extra_tolerance, ..trial }, bar)
+    fn evaluate(&self, comparison: Comparison, threshold: f64) -> Finding {
+        evaluate(
+            &Comparison { tolerance: comparison.tolerance + self.extra_tolerance, ..comparison },
+            threshold,
+        )
     }
 
     fn slow_spans(&self, route: u32) -> Option<Spans> {
@@ -206,7 +209,7 @@
 /// The bucket from which on an answer is slow: beyond all but the slowest of the old version.
 fn slow_from(old: &[u32]) -> Option<usize> {
     let whole: u32 = old.iter().sum();
-    if whole < MIN_TIMES {
+    if whole < MIN_TIMED_ANSWERS {
         return None;
     }
     let most = (f64::from(whole) * SLOW_PART) as u32;
@@ -218,30 +221,30 @@
     from.map(|n| n + 1 + SLOW_BUCKETS)
 }
 
-fn judge(trial: &Trial, bar: f64) -> Finding {
-    let spans = trial.spans;
+fn evaluate(comparison: &Comparison, threshold: f64) -> Finding {
+    let spans = comparison.spans;
     let mut ratios: Vec<(f64, usize)> = Vec::new();
     for (span, new) in spans.new.iter().enumerate().filter(|(_, new)| new.part > 0) {
-        let tolerated = trial.tolerated(span);
+        let tolerated = comparison.tolerated(span);
         // What is no larger than what is borne adds nothing to speak of.
         if f64::from(new.part) > tolerated * f64::from(new.whole) {
             ratios.push((new.likelihood_ratio(tolerated), span));
         }
     }
-    let Some(&(most, span)) = ratios.iter().max_by(|a, b| a.0.total_cmp(&b.0)) else {
+    let Some(&(strongest, span)) = ratios.iter().max_by(|a, b| a.0.total_cmp(&b.0)) else {
         return Finding::Nothing;
     };
     let (new, old) = (spans.new[span], spans.old[span]);
     let reason = || {
-        let (part, whole, what) = (new.part, new.whole, trial.what);
+        let (part, whole, what) = (new.part, new.whole, comparison.what);
         format!("{part} of {whole} answers {what}, of the old version's {} of {}", old.part, old.whole)
     };
     let sum = log_sum(ratios.iter().map(|(ratio, _)| *ratio));
-    if sum >= bar && new.part >= MIN_BAD {
+    if sum >= threshold && new.part >= MIN_BAD_ANSWERS {
         return Finding::Bad(reason());
     }
-    let whole = ratios.iter().any(|(r, s)| *s + 1 == spans.new.len() && *r >= DOUBT_WHOLE.ln());
-    if new.part >= trial.min_doubtful && (most >= DOUBT_ANY.ln() || whole) {
+    let whole = ratios.iter().any(|(r, s)| *s + 1 == spans.new.len() && *r >= DOUBT_WHOLE_SPAN.ln());
+    if new.part >= comparison.min_doubtful && (strongest >= DOUBT_ANY_SPAN.ln() || whole) {
         return Finding::Doubtful(reason());
     }
     Finding::Nothing
--- a/crates/registry/src/rollouts/summary.rs
+++ b/crates/registry/src/rollouts/summary.rs
@@ -27,7 +27,7 @@
 impl Tallies {
     /// What proxies have told here of the old and of the new version; None before any has. For views alone.
     pub fn summary(&self, epoch: Rev) -> Option<(Summary, Summary)> {
-        if !self.knows(epoch) {
+        if !self.has_reports(epoch) {
             return None;
         }
         let (mut old, mut new) = (Answers::default(), Answers::default());
--- a/crates/registry/src/views.rs
+++ b/crates/registry/src/views.rs
@@ -14,12 +14,12 @@
 
 pub struct View<'a> {
     pub now: Micros,
-    pub me: Ipv4Addr,
+    pub own_ip: Ipv4Addr,
     pub state: &'a State,
     pub presence: &'a Presence,
     pub core: &'a [Ipv4Addr],
     /// The zones of the core's machines, as far as they have said.
-    pub places: &'a BTreeMap<Ipv4Addr, String>,
+    pub core_zones: &'a BTreeMap<Ipv4Addr, String>,
     pub fresh: bool,
     pub leads: bool,
     pub leases: &'a Leases,
@@ -30,7 +30,7 @@
 impl View<'_> {
     pub fn status(&self) -> Answer {
         let core = self.core.iter().map(|ip| {
-            let zone = self.places.get(ip).map(String::as_str);
+            let zone = self.core_zones.get(ip).map(String::as_str);
             jzon::object! { ip_address: ip.to_string(), zone_name: zone }
         });
         let followers = self.followers.iter().map(|(node, rev)| {
@@ -58,7 +58,7 @@
                 slot_count: s.slots,
                 server_state: if s.draining { "draining" } else { "available" },
                 cold_left_ms: s.cold_until().saturating_sub(self.now).div_ceil(1000),
-                heard_ms_ago: heard.map(|at| self.ago(at)),
+                heard_ms_ago: heard.map(|at| self.ms_since(at)),
             }
         });
         self.answer(jzon::object! { instance_list: rows.collect::<Vec<_>>() })
@@ -66,7 +66,7 @@
 
     pub fn nodes(&self) -> Answer {
         let rows = self.state.nodes.values().map(|n| {
-            let (revision, heard_ms_ago) = self.seen(n.ip);
+            let (revision, heard_ms_ago) = self.proxy_progress(n.ip);
             jzon::object! {
                 node_name: n.name.as_str(),
                 ip_address: n.ip.to_string(),
@@ -81,12 +81,12 @@
     }
 
     pub fn drills(&self) -> Answer {
-        let rows = self.state.drills.0.values().map(|h| self.short(h));
+        let rows = self.state.drills.0.values().map(|h| self.drill_summary(h));
         self.answer(jzon::object! { drill_list: rows.collect::<Vec<_>>() })
     }
 
     /// What every view of a drill begins with.
-    fn short(&self, held: &Held) -> JsonValue {
+    fn drill_summary(&self, held: &Held) -> JsonValue {
         let ends = self.leases.ends(held.epoch).filter(|_| held.ended.is_none());
         let mut row = held.drill.write();
         row["drill_name"] = held.drill.name.as_str().into();
@@ -102,7 +102,7 @@
         let Some(held) = self.state.drills.0.get(name) else {
             return Answer::error(404, &format!("no drill {name:?}"));
         };
-        let mut body = self.short(held);
+        let mut body = self.drill_summary(held);
         let named = |ip: &Ipv4Addr| self.state.nodes.get(ip).map(|n| n.name.clone());
         let mut nodes: BTreeMap<Ipv4Addr, u32> = BTreeMap::new();
         for ((ip, _), teller) in &held.tellers {
@@ -122,7 +122,7 @@
     }
 
     /// What a dry run tells.
-    pub fn rehearsed(&self, drill: &Drill, wanted: Option<f64>) -> Answer {
+    pub fn drill_dry_run(&self, drill: &Drill, wanted: Option<f64>) -> Answer {
         let mut body = drill.write();
         body["drill_name"] = drill.name.as_str().into();
         body["dry_run"] = true.into();
@@ -137,20 +137,20 @@
     }
 
     /// How far a proxy that is heard of has come, and how many milliseconds ago it said so.
-    pub fn seen(&self, ip: Ipv4Addr) -> (Option<Rev>, Option<u64>) {
+    pub fn proxy_progress(&self, ip: Ipv4Addr) -> (Option<Rev>, Option<u64>) {
         // Those further down the tree say it in their reports.
         let follows = self.followers.iter().find(|(n, _)| n.ip == ip).map(|(_, rev)| *rev);
         let heard = self.presence.proxy_heard(ip);
-        (follows.or(heard.map(|(_, seen)| seen.rev)), heard.map(|(at, _)| self.ago(at)))
+        (follows.or(heard.map(|(_, seen)| seen.rev)), heard.map(|(at, _)| self.ms_since(at)))
     }
 
-    fn ago(&self, at: Micros) -> u64 {
+    fn ms_since(&self, at: Micros) -> u64 {
         self.now.saturating_sub(at) / 1000
     }
 
     /// With who answers and how far it has come, as another registry may say something else.
     pub fn answer(&self, mut body: JsonValue) -> Answer {
-        body["answered_by"] = self.me.to_string().into();
+        body["answered_by"] = self.own_ip.to_string().into();
         body["revision"] = self.state.rev.into();
         Answer::json(200, body.dump())
     }
--- a/crates/registry/tests/bookings.rs
+++ b/crates/registry/tests/bookings.rs
@@ -6,7 +6,7 @@
 use cluster::state::{Change, Command, NodeChange};
 use cluster::talk::{Gossip, Seen, Up, Usage, Use};
 use common::*;
-use registry::bookings::{Clocks, Duty};
+use registry::bookings::{BookingScheduler, Clocks};
 use registry::control_plane::{Input, Output};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -57,7 +57,7 @@
     }
 
     fn tell(&mut self) {
-        self.r.board.tell_day(self.r.now, (self.now_ms() as i64 + self.mine_ms) as u64);
+        self.r.control_plane.set_time_of_day(self.r.now, (self.now_ms() as i64 + self.mine_ms) as u64);
     }
 
     /// All of three proxies are heard, and all that the registry orders lands.
@@ -108,7 +108,7 @@
     }
 
     fn phase(&self) -> Phase {
-        self.r.board.copy.state.bookings["launch"].phase
+        self.r.control_plane.copy.state.bookings["launch"].phase
     }
 }
 
@@ -126,7 +126,7 @@
     let dry = day.call("PUT", "/api/bookings/launch?dry_run=true", None, &good);
     let said = jzon::parse(&dry.1).expect("JSON");
     assert_eq!((dry.0, &said["room_count"], &said["free_count"]), (200, &12.into(), &12.into()));
-    assert!(day.r.board.copy.state.bookings.is_empty());
+    assert!(day.r.control_plane.copy.state.bookings.is_empty());
     assert_eq!(day.put(&good).0, 200);
     assert_eq!(day.put(&good).0, 200, "the same again");
     let (status, why) = day.put(&body(r#""flight_count":9"#, opens, closes));
@@ -210,7 +210,7 @@
     let (opens, closes) = (day.now_ms() + 60_000, day.now_ms() + 120_000);
     assert_eq!(day.put(&body(r#""flight_count":12"#, opens, closes)).0, 200);
     day.pass(20 * SECOND);
-    let division = |day: &Day| day.r.board.copy.state.bookings["launch"].division.clone();
+    let division = |day: &Day| day.r.control_plane.copy.state.bookings["launch"].division.clone();
     assert_eq!(division(&day).number, 0, "much too early");
     day.pass(39 * SECOND);
     assert_eq!((day.phase(), division(&day).number), (Phase::Planned, 1));
@@ -290,9 +290,9 @@
     // The registry beside the next leader opens it; then the first order comes after all.
     let open = BookChange::Phase { name: "launch".into(), epoch: 1, phase: Phase::Open };
     day.r.lands(Command::Book(open));
-    let before = day.r.board.copy.state.bookings["launch"].clone();
+    let before = day.r.control_plane.copy.state.bookings["launch"].clone();
     day.r.lands(late);
-    assert_eq!(day.r.board.copy.state.bookings["launch"], before);
+    assert_eq!(day.r.control_plane.copy.state.bookings["launch"], before);
     // Without the duty nothing is ordered, however late it is.
     day.pass(100 * SECOND);
     assert_eq!(day.phase(), Phase::Open);
@@ -307,7 +307,7 @@
     r.stands(true, true);
     for _ in 0..20 {
         r.now += BEAT / 3;
-        r.board.tell_day(r.now, DAY);
+        r.control_plane.set_time_of_day(r.now, DAY);
         r.tell(Input::Tick);
         let told = r.out.iter().filter_map(|o| match o {
             Output::Peer(_, gossip) => Some(gossip.day_ms),
@@ -376,7 +376,7 @@
         opened: None,
         proxies: [Phase::Planned; 3],
     };
-    let duty = Duty::new(1, 0);
+    let scheduler = BookingScheduler::new(1, 0);
     let mut seen = HashSet::from([first.clone()]);
     let mut queue = VecDeque::from([(Rc::new(agreed), first)]);
     while let Some((agreed, world)) = queue.pop_front() {
@@ -403,14 +403,14 @@
             _ => DAY + world.time,
         };
         let mut clocks = Clocks::new(1);
-        clocks.set(0, clock(world.leads));
+        clocks.set_own(0, clock(world.leads));
         if by_middle {
             for r in (0..3).filter(|r| *r != world.leads) {
-                clocks.heard(0, Ipv4Addr::new(10, 0, 0, r as u8), clock(r));
+                clocks.set_peer(0, Ipv4Addr::new(10, 0, 0, r as u8), clock(r));
             }
         }
-        let (day_ms, _) = clocks.read(0).expect("a clock");
-        let due = duty.due(0, day_ms, &agreed, &BTreeSet::new(), |_, _| 0);
+        let (day_ms, _) = clocks.median(0).expect("a clock");
+        let due = scheduler.due(0, day_ms, &agreed, &BTreeSet::new(), |_, _| 0);
         if let Some(BookChange::Phase { epoch, phase, .. }) = due {
             let mut on = world.clone();
             on.ordered[world.leads] = Some((epoch, phase));
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use cluster::state::{Command, Done, Node, NodeChange, Server, ServerChange};
 use cluster::talk::{Down, FromStore, Gossip, News, Seen, ToStore, Unsure, Up, Usage};
 use registry::calls::Request;
-use registry::control_plane::{Board, Input, Output, Terms};
+use registry::control_plane::{ControlPlane, Input, Output, Parameters};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -64,7 +64,7 @@
 
 pub struct Registry {
     pub now: u64,
-    pub board: Board,
+    pub control_plane: ControlPlane,
     /// The store's copy; what lands, lands here first.
     pub store: Copy,
     pub proposed: Vec<(u64, Command)>,
@@ -84,20 +84,20 @@
 impl Registry {
     pub fn new(commands: Vec<Command>) -> Registry {
         let zones = [("north-a", "north"), ("north-b", "north"), ("south-a", "south"), ("south-b", "south")];
-        let terms = Terms {
-            me: ME,
-            zone: "north-a".into(),
+        let parameters = Parameters {
+            own_ip: ME,
+            own_zone: "north-a".into(),
             zones: zones.map(|(z, r)| (z.to_string(), r.to_string())).into(),
-            beat_us: BEAT,
-            ttl_s: 5.0,
-            sync_us: 2 * SECOND,
-            settle_us: 2 * SECOND,
-            zones_lost: 1,
-            repeat_us: 10 * SECOND,
+            heartbeat_us: BEAT,
+            directory_ttl_s: 5.0,
+            max_sync_us: 2 * SECOND,
+            propagation_us: 2 * SECOND,
+            tolerated_zone_losses: 1,
+            order_repeat_us: 10 * SECOND,
         };
         let mut registry = Registry {
             now: SECOND,
-            board: Board::new(terms, SECOND),
+            control_plane: ControlPlane::new(parameters, SECOND),
             store: Copy::default(),
             proposed: Vec::new(),
             reads: Vec::new(),
@@ -117,10 +117,10 @@
 
     pub fn tell(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.board.handle(self.now, input, &mut out);
+        self.control_plane.handle(self.now, input, &mut out);
         if !self.store_hangs && out.iter().any(|o| matches!(o, Output::Store(ToStore::Stand { .. }))) {
             let standing = self.standing(self.now);
-            self.board.handle(self.now, Input::Store(standing), &mut out);
+            self.control_plane.handle(self.now, Input::Store(standing), &mut out);
         }
         self.out.clear();
         for output in out {
@@ -146,11 +146,11 @@
         FromStore::Standing { core, fresh_ms, leads, term, asked }
     }
 
-    /// Time passes while the board is called whenever it wants to be.
+    /// Time passes while the control_plane is called whenever it wants to be.
     pub fn wait(&mut self, us: u64) {
         let (end, mut out) = (self.now + us, Vec::new());
         while self.now < end {
-            self.now = self.board.wake_at().clamp(self.now, end);
+            self.now = self.control_plane.wake_at().clamp(self.now, end);
             self.tell(Input::Tick);
             out.append(&mut self.out);
         }
@@ -162,13 +162,13 @@
         self.now += us;
     }
 
-    /// Time passes while the board is called whenever it wants to be, and the other registry speaks of these servers.
+    /// Time passes while the control_plane is called whenever it wants to be, and the other registry speaks of these servers.
     pub fn pass(&mut self, us: u64, servers: &[&str], nodes: &[u8]) {
         let end = self.now + us;
         let mut count = self.now;
         while self.now < end {
             count += 1;
-            self.now = self.board.wake_at().clamp(self.now, (self.now + BEAT / 3).min(end));
+            self.now = self.control_plane.wake_at().clamp(self.now, (self.now + BEAT / 3).min(end));
             let servers = servers.iter().map(|id| (id.to_string(), count)).collect();
             let nodes = nodes.iter().map(|n| seen(*n, count)).collect();
             let zone = "south-a".to_string();
@@ -232,7 +232,7 @@
     }
 
     pub fn servers(&self) -> Vec<&str> {
-        self.board.copy.state.servers.keys().map(String::as_str).collect()
+        self.control_plane.copy.state.servers.keys().map(String::as_str).collect()
     }
 
     pub fn report(&mut self, link: u64, last: u8, count: u64, ready: bool, rev: u64) {
@@ -246,7 +246,9 @@
     pub fn fed(&self, link: u64) -> Option<(u64, u64)> {
         self.out.iter().find_map(|o| match o {
             Output::Proxy(l, Down::News(News::Run { from, to, .. })) if *l == link => Some((*from, *to)),
-            Output::Proxy(l, Down::News(News::Whole(_))) if *l == link => Some((0, self.board.copy.rev())),
+            Output::Proxy(l, Down::News(News::Whole(_))) if *l == link => {
+                Some((0, self.control_plane.copy.rev()))
+            }
             _ => None,
         })
     }
--- a/crates/registry/tests/control_plane.rs
+++ b/crates/registry/tests/control_plane.rs
@@ -82,7 +82,7 @@
         let late = r.beat("a", A, "available", sequence);
         assert_eq!((r.status(late), r.proposed.len()), (Some(200), 0));
     }
-    assert!(r.board.copy.state.servers["a"].draining);
+    assert!(r.control_plane.copy.state.servers["a"].draining);
     // A beat that was gathered before the server left lands after that.
     let mut r = Registry::new(Vec::new());
     r.beat("a", A, "available", 1);
@@ -153,7 +153,7 @@
         let call = r.call(method, "/api/configuration", base, body);
         r.land();
         assert_eq!(r.status(call), Some(status), "{method} {base:?} {body}");
-        let version = r.board.copy.state.version();
+        let version = r.control_plane.copy.state.version();
         assert_eq!(version, if status == 200 && body != one { 2 } else { 1 });
     }
     // Unclear, then asked again unchanged, though it had been taken.
@@ -203,7 +203,7 @@
         assert_eq!(r.status(call), status, "{method} {zone}");
         r.land();
         assert_eq!(r.status(call), status.or(Some(200)));
-        assert_eq!(r.board.copy.state.evacuated.len(), emptied);
+        assert_eq!(r.control_plane.copy.state.evacuated.len(), emptied);
     }
     let call = r.call("GET", "/api/moon", None, "");
     assert_eq!(r.status(call), Some(404));
@@ -244,7 +244,7 @@
     assert!(r.proposed.is_empty());
     r.pass(2 * SECOND, &[], &[1]);
     r.land();
-    assert_eq!(r.board.copy.state.nodes.len(), 1);
+    assert_eq!(r.control_plane.copy.state.nodes.len(), 1);
 }
 
 #[test]
@@ -285,7 +285,11 @@
     let (ticket, command) = r.proposed.remove(0);
     let landed = r.lands(command);
     r.result(ticket, Ok(landed));
-    assert_eq!((r.board.copy.state.nodes.len(), r.proposed.len()), (1, 1), "the others are under way");
+    assert_eq!(
+        (r.control_plane.copy.state.nodes.len(), r.proposed.len()),
+        (1, 1),
+        "the others are under way"
+    );
     // Meanwhile they report again, which joins nobody twice.
     for last in 1..=40 {
         r.report(last.into(), last, 2, true, 0);
@@ -293,14 +297,14 @@
     let Command::Nodes(joined) = &r.proposed[0].1 else { panic!("{:?}", r.proposed) };
     assert_eq!(joined.len(), 39);
     r.land();
-    assert_eq!((r.board.copy.state.nodes.len(), r.proposed.len()), (40, 0));
+    assert_eq!((r.control_plane.copy.state.nodes.len(), r.proposed.len()), (40, 0));
     // What is lost on its way is told again by the next report.
     r.tell(Input::Proxy(50, Up::Hello { node: node(50, "north-a"), rev: 0 }));
     let (ticket, _) = r.proposed.remove(0);
     r.result(ticket, Err(Unsure::Perhaps));
     r.report(50, 50, 1, true, 0);
     r.land();
-    assert_eq!(r.board.copy.state.nodes.len(), 41);
+    assert_eq!(r.control_plane.copy.state.nodes.len(), 41);
 }
 
 /// Seen by reading, where a leaving server's calls overlap: the older of two is answered after the newer, which waits for
--- a/crates/registry/tests/meter.rs
+++ b/crates/registry/tests/meter.rs
@@ -54,10 +54,10 @@
     meter.take(SECOND + BEAT / 2, usage(3, 1, 2, 60_000, 60_000), false);
     let flood = meter.read(SECOND + BEAT / 2, &copy.state)[0].used;
     assert_eq!(flood, 68_000);
-    assert_eq!(meter.news().len(), 4);
-    assert_eq!(meter.news().len(), 0, "told once");
+    assert_eq!(meter.take_unsent().len(), 4);
+    assert_eq!(meter.take_unsent().len(), 0, "told once");
     meter.take(SECOND, usage(1, 1, 2, 0, 0), true);
-    assert_eq!(meter.news().len(), 0, "who told it knows it");
+    assert_eq!(meter.take_unsent().len(), 0, "who told it knows it");
     // Reports grow old: all are silent again.
     assert_eq!(meter.read(SECOND + 3 * BEAT, &copy.state), []);
 }
@@ -70,7 +70,7 @@
     r.wait(1000);
     let ahead = usage(1, 1, 1, 30_000, 9_000);
     r.tell(Input::Proxy(7, Up::Report { rev: 2, head: None, seen: Vec::new(), usage: vec![ahead] }));
-    r.now = r.board.wake_at();
+    r.now = r.control_plane.wake_at();
     r.tell(Input::Tick);
     let meter: Vec<&Reading> = r
         .out
--- a/crates/registry/tests/rollout_errors/simulation.rs
+++ b/crates/registry/tests/rollout_errors/simulation.rs
@@ -3,7 +3,7 @@
 
 use cluster::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
 use fastrand::Rng;
-use registry::rollouts::{Ground, Tallies};
+use registry::rollouts::{Evaluation, Tallies};
 use std::net::Ipv4Addr;
 
 /// All times in ticks of so many microseconds.
@@ -205,12 +205,12 @@
         }
         if now % ROUND == 0 && now >= quiet_until && decided.is_none() && over_at.is_none() {
             let serving = play.serving(now);
-            let ground = Ground {
+            let ground = Evaluation {
                 now: now as u64 * TICK_US,
                 tallies: &tallies,
                 proxies: &serving,
                 tally_us: TALLY as u64 * TICK_US,
-                settle_us: 2_500_000,
+                propagation_us: 2_500_000,
             };
             // Written to a majority's disks, in another region.
             decided = ground.step(&play.rollout).map(|s| (now + play.rng.usize(8..20), s.to, s.reason));
--- a/crates/registry/tests/rollouts.rs
+++ b/crates/registry/tests/rollouts.rs
@@ -36,7 +36,7 @@
 }
 
 fn stage(r: &Registry) -> Stage {
-    r.board.copy.state.rollouts.0["heron"].stage
+    r.control_plane.copy.state.rollouts.0["heron"].stage
 }
 
 /// Answers, of which so many failed and the rest took so long.
@@ -48,17 +48,17 @@
 
 /// The one proxy tells what it counted, and time passes with it alive.
 fn tells(r: &mut Registry, count: u64, old: Answers, new: Answers, old_out: u32) {
-    let rollout = &r.board.copy.state.rollouts.0["heron"];
+    let rollout = &r.control_plane.copy.state.rollouts.0["heron"];
     let tally = Tally {
         ip: node(1, "north-a").ip,
         life: 1,
         count,
         epoch: rollout.epoch,
-        rev: r.board.copy.rev(),
+        rev: r.control_plane.copy.rev(),
         old_out,
         routes: vec![RouteTally { route: ROUTE, old, new }],
     };
-    let rev = r.board.copy.rev();
+    let rev = r.control_plane.copy.rev();
     r.report(LINK, 1, count, true, rev);
     r.tell(Input::Proxy(LINK, Up::Rollout(vec![tally])));
 }
@@ -145,7 +145,7 @@
     for new in [answers(80, 40, 200_000), half(1_600_000)] {
         let mut r = ordered();
         goes_on(&mut r, SECOND, &old, &new, 0);
-        assert_eq!(stage(&r), Stage::Reverted, "{:?}", r.board.copy.state.rollouts);
+        assert_eq!(stage(&r), Stage::Reverted, "{:?}", r.control_plane.copy.state.rollouts);
         assert!(shown(&mut r).1.contains(r#""server_state":"reverted""#));
     }
 }
--- a/crates/registry/tests/verdict.rs
+++ b/crates/registry/tests/verdict.rs
@@ -1,7 +1,7 @@
 //! What a registry makes of tallies: by the counts alone, whenever and however often they come.
 
 use cluster::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
-use registry::rollouts::{Ground, Tallies};
+use registry::rollouts::{Evaluation, Tallies};
 use std::net::Ipv4Addr;
 
 const SECOND: u64 = 1_000_000;
@@ -52,8 +52,13 @@
     fn step(&self, rollout: &Rollout) -> Option<Stage> {
         let proxies = [PROXY];
         let (tallies, now) = (&self.tallies, self.now);
-        let ground =
-            Ground { now, tallies, proxies: &proxies, tally_us: SECOND / 3, settle_us: 5 * SECOND / 2 };
+        let ground = Evaluation {
+            now,
+            tallies,
+            proxies: &proxies,
+            tally_us: SECOND / 3,
+            propagation_us: 5 * SECOND / 2,
+        };
         ground.step(rollout).map(|step| step.to)
     }
 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -17,7 +17,7 @@
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::watch::Watch;
-use registry::control_plane::{self, Board, Terms};
+use registry::control_plane::{self, ControlPlane, Parameters};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -98,7 +98,7 @@
 }
 
 pub struct Registry {
-    board: Board,
+    control_plane: ControlPlane,
     store: Tie,
     peers: BTreeMap<Ipv4Addr, Tie>,
     calls: BTreeSet<ConnId>,
@@ -216,20 +216,21 @@
                 self.store(n, Some(chest::Input::Settings { size, seeds }));
             }
             Owner::Registry(n) => {
-                let terms = Terms {
-                    me: ip,
-                    zone: zone.0,
+                let parameters = Parameters {
+                    own_ip: ip,
+                    own_zone: zone.0,
                     zones,
-                    beat_us: BEAT,
-                    ttl_s: self.record.bounds.ttl_s,
-                    sync_us: self.record.bounds.sync,
-                    settle_us: self.record.bounds.config_apply,
-                    zones_lost: 1,
-                    repeat_us: registry::control_plane::REPEAT_US,
+                    heartbeat_us: BEAT,
+                    directory_ttl_s: self.record.bounds.ttl_s,
+                    max_sync_us: self.record.bounds.sync,
+                    propagation_us: self.record.bounds.config_apply,
+                    tolerated_zone_losses: 1,
+                    order_repeat_us: registry::control_plane::DEFAULT_ORDER_REPEAT_US,
                 };
-                let board = Board::new(terms, 0);
+                let control_plane = ControlPlane::new(parameters, 0);
                 let (store, peers, calls) = Default::default();
-                self.registries[n] = Some(Process::new(life, now, Registry { board, store, peers, calls }));
+                self.registries[n] =
+                    Some(Process::new(life, now, Registry { control_plane, store, peers, calls }));
                 self.registry(n, None);
             }
             Owner::Proxy(n) => {
@@ -496,7 +497,7 @@
             Event::Down => match kind {
                 Some(Kind::Local) => r.store.fell(clock, conn).then_some(control_plane::Input::StoreDown),
                 Some(Kind::News) => Some(control_plane::Input::ProxyDown(conn)),
-                Some(Kind::Call) => r.calls.remove(&conn).then_some(control_plane::Input::CallGone(conn)),
+                Some(Kind::Call) => r.calls.remove(&conn).then_some(control_plane::Input::CallClosed(conn)),
                 _ => {
                     r.peers.values_mut().for_each(|t| {
                         t.fell(clock, conn);
@@ -515,9 +516,9 @@
         let now = p.clock(self.now);
         let mut out = Vec::new();
         let day_ms = DAY_MS.saturating_add_signed(self.hosts[n].ahead) + self.now / MS;
-        p.machine.board.tell_day(now, day_ms);
+        p.machine.control_plane.set_time_of_day(now, day_ms);
         if let Some(input) = input {
-            p.machine.board.handle(now, input, &mut out);
+            p.machine.control_plane.handle(now, input, &mut out);
         }
         let r = &mut p.machine;
         for output in out {
@@ -552,7 +553,7 @@
             r.store.again_at = now + AGAIN;
             r.store.conn = Some(self.dial(Kind::Local, me, Owner::Store(n)));
         }
-        let wake = r.board.wake_at().min(r.store.wake_at()).min(p.ends_at.unwrap_or(Micros::MAX));
+        let wake = r.control_plane.wake_at().min(r.store.wake_at()).min(p.ends_at.unwrap_or(Micros::MAX));
         let over = p.ends_at.is_some_and(|at| now >= at);
         self.wake(me, &mut p, wake);
         self.registries[n] = Some(p);
--- a/crates/simulator/src/weigh.rs
+++ b/crates/simulator/src/weigh.rs
@@ -247,7 +247,7 @@
     for report in reports.iter().cloned() {
         meter.take(0, report, false);
     }
-    meter.news();
+    meter.take_unsent();
     meter.read(0, &copy.state);
     w.report.3 = heap.current_usage() - before;
     w.report.1 = timed(|| again.into_iter().for_each(|u| _ = meter.take(every_us, u, false))).1;
@@ -259,12 +259,12 @@
     let before = heap.current_usage();
     let mut presence = Presence::new(0, BEAT_US);
     for id in &ids {
-        presence.beat(0, id, 1);
+        presence.heartbeat(0, id, 1);
     }
-    presence.news();
+    presence.take_unsent();
     w.beats.2 = heap.current_usage() - before;
-    let (_, us) = timed(|| ids.iter().for_each(|id| _ = presence.beat(BEAT_US, id, 2)));
-    let (servers, nodes) = presence.news();
+    let (_, us) = timed(|| ids.iter().for_each(|id| _ = presence.heartbeat(BEAT_US, id, 2)));
+    let (servers, nodes) = presence.take_unsent();
     let (ip, zone) = (Ipv4Addr::new(10, 0, 0, 1), "a".to_string());
     let (usage, heads, leases) = (Vec::new(), Vec::new(), Vec::new());
     let gossip = Gossip { ip, zone, servers, nodes, usage, heads, day_ms: None, leases, tallies: vec![] };
