--- a/crates/registry/src/bookings.rs
+++ b/crates/registry/src/bookings.rs
@@ -1,7 +1,8 @@
-//! Bookings at the registry: what time it is, what room there is, and what of the bookings is due. No I/O, no clock.
+//! Bookings of capacity: the time of day, the room that can be booked, and the changes that are due. No I/O, no
+//! clock.
 //!
-//! Phases are turned by one registry, the one beside the leader, by the time of day that most registries go by. What it
-//! orders names the epoch that it builds on, so an order that comes late, or twice, has no effect.
+//! One registry, the one on the leader's machine, changes phases, by the median of the registries' clocks. Each
+//! change names the epoch it builds on, so a late or repeated one has no effect.
 
 use crate::calls::Answer;
 use cluster::Micros;
@@ -12,21 +13,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Of the slots that may be booked, one in so many stays for all others.
+/// One of this many bookable slots stays unbooked for all other requests.
 const UNBOOKABLE_ONE_IN: u32 = 4;
-/// Divisions of one booking lie so many beats apart, and never less than a settling: what the last one took away has
-/// bound everywhere before another one gives it to somebody (`crates/cluster/tests/division.rs` has the course that would
-/// exceed the booking).
+/// Heartbeat intervals between two divisions of one booking; the pause is at least the propagation time. What one
+/// division takes from a proxy must have taken effect everywhere before the next gives it to another;
+/// `crates/cluster/tests/division.rs` has the sequence that would otherwise exceed the booking.
 const DIVISION_INTERVAL_HEARTBEATS: Micros = 2;
-/// A booking is divided, so that every proxy has taken up its part, so many beats and settlings before it opens.
+/// A booking is divided this many heartbeat intervals and propagation times before it opens, so that every proxy has
+/// applied its part by then.
 const DIVIDE_AHEAD_HEARTBEATS: Micros = 6;
 const DIVIDE_AHEAD_PROPAGATIONS: Micros = 2;
-/// A fifth is divided evenly, the rest by demand: who is asked for the first time has something.
+/// Weight of demand against 1 for even parts: four fifths follow demand and one fifth is split evenly, so that a
+/// proxy that gets its first requests has a part already.
 const DEMAND_WEIGHT: u64 = 4;
 
 // ---- the time of day ----
 
-/// The times of day that the registries go by. Their middle one counts, so that one clock that jumps moves nothing.
+/// The registries' clocks. Their median counts, so that a single clock that jumps has no effect.
 #[derive(Default)]
 pub struct Clocks {
     valid_us: Micros,
@@ -36,7 +39,7 @@
 }
 
 impl Clocks {
-    /// `valid_us`: a time that was told counts for so long.
+    /// `valid_us`: how long a time received from another registry stays valid.
     pub fn new(valid_us: Micros) -> Clocks {
         Clocks { valid_us, ..Clocks::default() }
     }
@@ -53,14 +56,14 @@
         self.own.map(|at| time_of_day_at(now, at))
     }
 
-    /// The middle one and of how many, this registry's own among them.
+    /// The median time of day and the number of clocks it is taken from, including this registry's own.
     pub fn median(&mut self, now: Micros) -> Option<(DayMs, usize)> {
         self.peers.retain(|_, (at, _)| now <= *at + self.valid_us);
         let mut all: Vec<DayMs> =
             self.peers.values().chain(&self.own).map(|at| time_of_day_at(now, *at)).collect();
         all.sort();
         let (low, high) = (*all.get(all.len().checked_sub(1)? / 2)?, all[all.len() / 2]);
-        // Of two it is the one that goes on from what was read before.
+        // Of the two middle ones, the one closer to the continuation of the previous reading.
         let day = match self.last.map(|last| time_of_day_at(now, last)) {
             Some(was) if was.abs_diff(high) < was.abs_diff(low) => high,
             _ => low,
@@ -76,20 +79,20 @@
 
 // ---- the room ----
 
-/// Where room is looked for.
+/// The state from which free capacity is computed.
 pub struct Capacity<'a> {
     pub now: Micros,
     pub day_ms: DayMs,
     pub state: &'a State,
-    /// Zones and their regions.
+    /// Zone names and the region of each.
     pub zones: &'a BTreeMap<String, String>,
-    /// How many zones may be lost at one time.
+    /// How many zones may fail at the same time.
     pub tolerated_zone_losses: usize,
 }
 
 impl Capacity<'_> {
-    /// What all bookings of its service together may come to while this one lasts: the slots of servers that will be
-    /// warm, without the largest zones, as these may be lost, and without what stays for all others.
+    /// The slots that all bookings of the service may share while this one lasts: those of servers that will be warm
+    /// when it opens, without the largest zones, which may fail, and without the part kept for all other requests.
     pub fn room(&self, booking: &Booking, homes: Option<&BTreeSet<String>>) -> u32 {
         let opens_at = self.now + booking.opens_ms.saturating_sub(self.day_ms).saturating_mul(1000);
         let config = self.state.config.as_ref();
@@ -112,7 +115,7 @@
         all - all.div_ceil(UNBOOKABLE_ONE_IN)
     }
 
-    /// What of its tenants' quotas other bookings of theirs leave.
+    /// The part of its tenants' quota that their other bookings leave.
     pub fn quota_free(&self, booking: &Booking, quota: u32) -> u32 {
         let theirs = |b: &Booking| b.tenants.iter().any(|t| booking.tenants.contains(t));
         quota.saturating_sub(self.state.bookings.peak(booking, theirs))
@@ -121,7 +124,8 @@
 
 // ---- what is due ----
 
-/// Keeps when each division was first seen, so that the next one is not made too soon after it, whoever makes it.
+/// Decides which change of a booking is due. Remembers when each division was first seen, so that the next one does
+/// not follow too soon, whichever registry makes it.
 pub struct BookingScheduler {
     heartbeat_us: Micros,
     propagation_us: Micros,
@@ -129,7 +133,7 @@
 }
 
 impl BookingScheduler {
-    /// `propagation_us`: within so long every proxy in touch has taken up what it was told.
+    /// `propagation_us`: every reachable proxy has applied a committed change within this time.
     pub fn new(heartbeat_us: Micros, propagation_us: Micros) -> BookingScheduler {
         BookingScheduler { heartbeat_us, propagation_us, divisions_seen: BTreeMap::new() }
     }
@@ -144,8 +148,8 @@
         }
     }
 
-    /// The next change, phases before divisions; a later one is found once this one has landed. `alive`: proxies that
-    /// take requests; `wanted`: what was asked of one for the booking of a key.
+    /// The next change that is due, phases before divisions; a later one is found once this one has committed.
+    /// `alive`: proxies that take requests; `wanted`: the demand reported by a proxy for the booking with a key.
     pub fn due(
         &self,
         now: Micros,
@@ -179,7 +183,8 @@
             Phase::Planned if day_ms >= b.booking.closes_ms => Some(Phase::Ended),
             Phase::Planned if day_ms >= b.booking.opens_ms => Some(Phase::Open),
             Phase::Open if day_ms >= b.booking.closes_ms => Some(Phase::Closing),
-            // By this registry's own clock: every proxy has heard by then that it closes, and has given all back.
+            // Measured on this registry's steady clock: by then every proxy has learned of the closing and has
+            // returned its part.
             Phase::Closing if b.lasted_us(now) >= ramp_us + self.propagation_us => Some(Phase::Ended),
             _ => None,
         }
@@ -197,7 +202,7 @@
     }
 }
 
-/// The parts as they should be; None: as they are will do.
+/// The parts as they should be, or none if the present ones are good enough.
 fn rebalanced_parts(
     b: &Booked,
     alive: &BTreeSet<Ipv4Addr>,
@@ -211,7 +216,7 @@
     let mut parts = divide(b.booking.flight, &alive.iter().map(|ip| (*ip, weight(ip))).collect());
     parts.retain(|_, part| *part > 0);
     let held: u64 = alive.iter().map(|ip| u64::from(b.division.part(*ip))).sum();
-    // A part that demand has moved by more than chance: so many requests that come by chance are off by a root of it.
+    // Whether demand has moved a part by more than chance; the random deviation of a count is about its square root.
     let moved = |ip: &Ipv4Addr| {
         let (is, should) = (b.division.part(*ip), parts.get(ip).copied().unwrap_or(0));
         let by = u64::from(is.abs_diff(should));
@@ -222,7 +227,7 @@
 
 // ---- answers ----
 
-/// An epoch as callers give it in If-Match.
+/// An epoch as callers send it in If-Match.
 pub fn format_epoch(epoch: u64) -> String {
     show_version(u32::try_from(epoch).unwrap_or(u32::MAX))
 }
--- a/crates/registry/src/calls.rs
+++ b/crates/registry/src/calls.rs
@@ -1,11 +1,11 @@
-//! Calls from outside, read far enough to be decided on, and the answers to them.
+//! Calls from servers, operators and clients as parsed from HTTP, and the answers to them.
 
 use cluster::Micros;
 use cluster::rollout::Declined;
 use cluster::state::{Done, Node, Server};
 use settings::config::show_version;
 
-/// A call as it came.
+/// An HTTP request before its path and body are interpreted.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub method: String,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Cold for longer than was known, by more than a call may be late.
+/// Whether a server reports to be cold for longer than is known, by more than a late call explains.
 pub fn is_colder(server: &Server, now: Micros, left_ms: u32) -> bool {
     const MAX_DELAY_MS: u64 = 500;
     left_ms > 0 && now + u64::from(left_ms) * 1000 > server.cold_until() + MAX_DELAY_MS * 1000
--- a/crates/registry/src/control_plane.rs
+++ b/crates/registry/src/control_plane.rs
@@ -1,5 +1,6 @@
-//! The registry as a state machine: calls of servers, operators and clients, links to its store, to the other
-//! registries and to the proxies come in; answers and messages go out. No I/O, no clock.
+//! The registry as a state machine. Its inputs are calls from servers, operators and clients, and messages from its
+//! store, the other registries and the proxies; its outputs are answers and messages. It does no I/O and reads no
+//! clock.
 
 mod booking;
 mod rollout;
@@ -26,32 +27,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// What this registry is told at its start.
+/// What a registry is configured with at its start.
 #[derive(Clone, Debug)]
 pub struct Parameters {
     pub own_ip: Ipv4Addr,
     pub own_zone: String,
-    /// Zones and their regions.
+    /// Zone names and the region of each.
     pub zones: BTreeMap<String, String>,
-    /// How often servers call.
+    /// Interval between two heartbeats of a server.
     pub heartbeat_us: Micros,
-    /// The longest time that a directory's answer may be kept.
+    /// How long clients may cache an answer of the directory.
     pub directory_ttl_s: f64,
-    /// Longest time a lost machine may need to catch up, before it is written off.
+    /// The longest time a lost machine may need to catch up before it is removed.
     pub max_sync_us: Micros,
-    /// Within so long every proxy in touch has taken up what was agreed.
+    /// Every reachable proxy has applied a committed change within this time.
     pub propagation_us: Micros,
-    /// How many zones may be lost at one time.
+    /// How many zones may fail at the same time.
     pub tolerated_zone_losses: usize,
-    /// For so long an operator repeats an order that was not answered.
+    /// How long an operator repeats an order that got no answer.
     pub order_repeat_us: Micros,
 }
 
 pub use rollout::DEFAULT_ORDER_REPEAT_US;
 
+/// What the state machine is given. A number is the id of a call or of a proxy's link.
 pub enum Input {
+    /// Nothing but the passing of time.
     Tick,
     Call(u64, Request),
+    /// The caller has gone: no answer is needed.
     CallClosed(u64),
     Store(FromStore),
     StoreDown,
@@ -61,7 +65,6 @@
     ProxyDown(u64),
 }
 
-#[derive(Debug)]
 pub enum Output {
     Answer(u64, Answer),
     Store(ToStore),
@@ -69,96 +72,100 @@
     Proxy(u64, Down),
 }
 
-/// Beats between two messages of the registry's own, as a part of the servers' beat.
+/// Rounds of the registry's own messages per server heartbeat.
 const ROUNDS_PER_HEARTBEAT: Micros = 3;
-/// Reports of tenants' use are gathered for so long before the proxies are told the sum.
+/// Proxies' usage reports are gathered for this long before the totals are sent out.
 const USAGE_GATHER_US: Micros = 60_000;
-/// For each proxy, where there are many: each round goes to all of them.
+/// Gathering time per known proxy, where that is longer, because each round of readings goes to all proxies.
 const USAGE_GATHER_PER_PROXY_US: Micros = 4_000;
-/// Between two questions to the store of how it stands.
+/// Interval at which the store is asked for its standing.
 const STORE_POLL_US: Micros = 250_000;
-/// A call's caller moves on after a second of silence.
+/// Callers give up after one second of silence, so a call is answered before that.
 const CALL_TIMEOUT_US: Micros = 900_000;
-/// A server is written off after so many beats unheard, a proxy after so many times the catching up.
+/// A server is removed after this many heartbeat intervals of silence.
 const SERVER_LOST_HEARTBEATS: Micros = 4;
+/// A proxy is removed after this many times the longest catch-up time without a report.
 const PROXY_LOST_SYNC_TIMES: Micros = 5;
-/// Told to callers that are to go on elsewhere at once.
+/// Answer to callers that should try another registry at once.
 const NOT_FRESH_MESSAGE: &str = "this machine does not hear the majority";
-/// Another registry's time of day counts for so many beats.
+/// How many heartbeat intervals a time of day received from another registry stays valid.
 const CLOCK_VALID_HEARTBEATS: Micros = 2;
 
-/// What waits for its command to come back, or for the state to have come far enough.
+/// What a pending call waits for: its command to commit, or this copy to reach a revision.
 enum Awaited {
-    /// A server's call: answered once the change of this number, or a later one, is in the state.
+    /// A server's call. It is answered once the batch of this number, or a later one, has been applied.
     Batch(u64),
-    /// An operator's.
+    /// An operator's command.
     Command { ticket: u64, at: Option<Rev>, done: Option<Done> },
-    /// The configuration is read once the state has come so far.
+    /// A read of the configuration, answered once the copy has reached revision `at`.
     Read { ticket: u64, at: Option<Rev> },
-    /// So are the rollouts.
+    /// A read of rollouts, answered in the same way.
     Rollouts { ticket: u64, at: Option<Rev>, query: rollout::RolloutQuery },
 }
 
+/// A call that has not been answered yet.
 struct PendingCall {
     deadline: Micros,
     awaited: Awaited,
 }
 
+/// One registry's view of the system and all that it does for others.
 pub struct ControlPlane {
     parameters: Parameters,
     now: Micros,
     pub copy: Copy,
     store_up: bool,
     core: Vec<Ipv4Addr>,
-    /// Where the core's machines are, as far as they have said.
+    /// The zones of the core machines that have reported one.
     core_zones: BTreeMap<Ipv4Addr, String>,
-    /// Until when this registry may speak for what is agreed, if its store says nothing more; and since when it may
-    /// without a break.
+    /// Until when the copy counts as fresh if the store sends nothing more, and since when it has been fresh without
+    /// interruption.
     fresh_until: Micros,
     fresh_since: Micros,
-    /// The store is asked again.
+    /// When the store is asked for its standing again.
     poll_store_at: Micros,
     leads: bool,
     leads_since: Micros,
-    /// The store's term: the fencing token of all that is done beside the leader.
+    /// The store's term: the fencing token of every command that only the registry on the leader's machine may propose.
     term: u64,
-    /// Its ticket, and when it was sent; where the last of these landed.
-    leader_command_in_flight: Option<(u64, Micros)>,
-    leader_command_rev: Rev,
+    /// The removal of lost members that is in flight: its ticket and when it was sent. Then the revision of the last
+    /// one that committed.
+    removal_in_flight: Option<(u64, Micros)>,
+    removal_rev: Rev,
     pub presence: Presence,
     meter: Meter,
-    /// Readings go out ahead of time, as a proxy has reported ahead of time.
+    /// When usage readings go out, if before the next round. Set by usage reports.
     report_usage_at: Micros,
-    /// The last readings and when they were made, if they tell how things stand.
+    /// The last readings and when they were made. None while too few proxies report for them to be meaningful.
     readings: Option<(Micros, Vec<Reading>)>,
-    /// Links of followers that have not been told any.
+    /// Links of followers that have not received any readings yet.
     links_without_readings: BTreeSet<u64>,
     followers: Followers,
-    /// The greatest that was told of each region.
+    /// The newest head known of each region.
     relay_heads: BTreeMap<String, Head>,
     pending_calls: BTreeMap<u64, PendingCall>,
     last_ticket: u64,
-    /// Changes of servers and proxies on their way into the log: those gathered for the next command, its number, and
-    /// the command under way (its ticket, when it was sent).
+    /// Changes of servers and proxies that wait for the next command to the log, the number of the batch they will
+    /// form, and the batch in flight (its ticket and when it was sent).
     server_changes: Vec<ServerChange>,
     node_changes: Vec<NodeChange>,
-    /// Those of proxies that were sent, until the state has them or they are lost.
+    /// Changes of proxies in the batch in flight, kept until they are applied or lost.
     node_changes_in_flight: Vec<NodeChange>,
     next_batch: u64,
     batch_in_flight: Option<(u64, Micros)>,
-    /// Numbers of the batches that are done, up to this one; the revision at which it is in the state.
+    /// The last batch that is done with, and the revision at which it committed.
     committed_batch: u64,
     committed_batch_rev: Rev,
     next_round: Micros,
     leases: Leases,
-    /// Drills that were asked for here, and when each would end.
+    /// Drills requested at this registry, and when each would end.
     requested_drills: Vec<(Drill, Micros)>,
-    /// What proxies said of drills, for the next command.
+    /// Drill reports of proxies for the next command.
     drill_reports: Vec<Rows>,
     clocks: Clocks,
     booking_scheduler: BookingScheduler,
     booking_in_flight: booking::InFlight,
-    /// What proxies counted of rollouts.
+    /// Rollout tallies reported by proxies.
     tallies: Tallies,
 }
 
@@ -176,8 +183,8 @@
             leads: false,
             leads_since: now,
             term: 0,
-            leader_command_in_flight: None,
-            leader_command_rev: 0,
+            removal_in_flight: None,
+            removal_rev: 0,
             presence: Presence::new(now, parameters.heartbeat_us),
             meter: Meter::new(parameters.heartbeat_us / ROUNDS_PER_HEARTBEAT),
             report_usage_at: Micros::MAX,
@@ -206,11 +213,11 @@
         }
     }
 
-    /// When it wants to be called again, whatever comes.
+    /// When `handle` is to be called next, even without any input.
     pub fn wake_at(&self) -> Micros {
-        let calls = self.pending_calls.values().map(|call| call.deadline).min();
-        let ask = if self.store_up { self.poll_store_at } else { Micros::MAX };
-        calls.unwrap_or(Micros::MAX).min(self.next_round).min(self.report_usage_at).min(ask)
+        let deadline = self.pending_calls.values().map(|call| call.deadline).min();
+        let poll = if self.store_up { self.poll_store_at } else { Micros::MAX };
+        deadline.unwrap_or(Micros::MAX).min(self.next_round).min(self.report_usage_at).min(poll)
     }
 
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
@@ -228,11 +235,11 @@
             }
             Input::StoreDown => {
                 (self.store_up, self.fresh_until, self.leads) = (false, 0, false);
-                (self.batch_in_flight, self.leader_command_in_flight) = (None, None);
+                (self.batch_in_flight, self.removal_in_flight) = (None, None);
                 self.forget_booking_in_flight();
-                // What was under way may be lost: it is gathered anew as its callers come again.
-                let unsure: Vec<u64> = self.pending_calls.keys().copied().collect();
-                for id in unsure {
+                // Commands in flight may be lost. Callers get a 503 and send the change again.
+                let pending: Vec<u64> = self.pending_calls.keys().copied().collect();
+                for id in pending {
                     self.answer_call(id, Answer::unavailable("the store of this machine is away"), out);
                 }
             }
@@ -276,8 +283,8 @@
             None => return out.push(Output::Answer(id, Answer::error(404, "no such call"))),
         };
         let argument = argument.unwrap_or_default();
-        // These are decided, and may be refused for good, by what this copy holds.
-        let by_copy = matches!(
+        // These calls are decided from this copy, possibly with a final refusal, so they need a fresh copy.
+        let decided_from_copy = matches!(
             call,
             Call::PutBooking
                 | Call::CancelBooking
@@ -290,7 +297,7 @@
                 | Call::StopRollout
         );
         let answer = match call {
-            _ if by_copy && !self.is_fresh() => Some(Answer::unavailable(NOT_FRESH_MESSAGE)),
+            _ if decided_from_copy && !self.is_fresh() => Some(Answer::unavailable(NOT_FRESH_MESSAGE)),
             Call::Resolve => self.resolve(&request.target),
             Call::Beat => match Beat::read(&request.body) {
                 Err(why) => Some(Answer::error(400, &why.to_string())),
@@ -308,7 +315,7 @@
                         let patch = call == Call::PatchConfig;
                         let change = Change { base, patch, body: request.body.clone() };
                         match self.copy.state.consider(&change) {
-                            // Whatever the version is, this can be taken at none.
+                            // Not valid on any version, so there is no need to ask the log.
                             Err(Done::Invalid(why)) if !patch => Some(Answer::error(400, &why)),
                             _ => self.propose_command(id, Command::Configure(change), out),
                         }
@@ -364,7 +371,7 @@
             Err(why) => return Some(Answer::error(400, &why.to_string())),
         };
         let state = &self.copy.state;
-        let place = match &drill.fault {
+        let target_exists = match &drill.fault {
             Fault::UnreachableServer(id) if !state.servers.contains_key(id) => {
                 Err(format!("no server {id:?}"))
             }
@@ -373,8 +380,8 @@
             }
             _ => Ok(()),
         };
-        let may = place.and_then(|()| state.drills.consider(&drill, state.config.as_deref()));
-        if let Err(why) = may {
+        let allowed = target_exists.and_then(|()| state.drills.consider(&drill, state.config.as_deref()));
+        if let Err(why) = allowed {
             return Some(Answer::error(422, &why));
         }
         match api::dry_run(&request.target) {
@@ -390,16 +397,17 @@
         self.propose_fenced(id, Command::Drill(DrillChange::Start(Box::new(drill))), out)
     }
 
-    /// Drills that were asked for here have begun: all are told how long they have.
+    /// Sends the time left of drills that were requested here and have just started to proxies and registries.
     fn announce_started_drills(&mut self, out: &mut Vec<Output>) {
-        let begun = self.copy.state.drills.running().filter(|h| self.leases.ends(h.epoch).is_none());
-        let ends =
+        let started = self.copy.state.drills.running().filter(|h| self.leases.ends(h.epoch).is_none());
+        let ends_at =
             |drill: &Drill| self.requested_drills.iter().find(|(d, _)| d == drill).map(|(_, ends)| *ends);
-        let begun: Vec<(Rev, Micros)> = begun.filter_map(|h| Some((h.epoch, ends(&h.drill)?))).collect();
-        if begun.is_empty() {
+        let started: Vec<(Rev, Micros)> =
+            started.filter_map(|h| Some((h.epoch, ends_at(&h.drill)?))).collect();
+        if started.is_empty() {
             return;
         }
-        begun.into_iter().for_each(|(epoch, ends)| self.leases.learn(epoch, ends));
+        started.into_iter().for_each(|(epoch, ends)| self.leases.learn(epoch, ends));
         self.send_gossip(Vec::new(), Vec::new(), Vec::new(), Vec::new(), Vec::new(), out);
         self.send_drill_leases(out);
     }
@@ -407,21 +415,21 @@
     fn send_drill_leases(&self, out: &mut Vec<Output>) {
         let leases = self.leases.to_gossip(self.now, &self.copy.state.drills);
         if !leases.is_empty() {
-            let said = Age::first(self.now);
-            out.extend(self.followers.links().map(|l| Output::Proxy(l, Down::Leases(leases.clone(), said))));
+            let age = Age::first(self.now);
+            out.extend(self.followers.links().map(|l| Output::Proxy(l, Down::Leases(leases.clone(), age))));
         }
     }
 
-    /// Questions and alarms go on at once, the rest with the next round.
+    /// Requests for a grant and alarms go to the log at once; reports of met faults wait for the next round.
     fn take_drill_reports(&mut self, rows: Vec<Rows>, out: &mut Vec<Output>) {
         let state = &self.copy.state.drills;
-        let heard = |r: &Rows| {
+        let is_known = |r: &Rows| {
             let of = state.0.values().find(|h| h.epoch == r.epoch);
             of.is_none_or(|h| {
                 h.tellers.get(&(r.ip, r.life)).is_some_and(|t| t.up_to + 1 >= r.first + r.said.len() as u64)
             })
         };
-        let new: Vec<Rows> = rows.into_iter().filter(|r| !heard(r)).collect();
+        let new: Vec<Rows> = rows.into_iter().filter(|r| !is_known(r)).collect();
         let urgent = new.iter().flat_map(|r| &r.said).any(|s| !matches!(s, Said::Met { .. }));
         for rows in new {
             self.drill_reports.retain(|r| (r.epoch, r.ip, r.life) != (rows.epoch, rows.ip, rows.life));
@@ -440,16 +448,16 @@
         }
     }
 
-    /// Beside the leader: those whose time is up end in the log.
+    /// Ends drills whose time is up. Only the registry on the leader's machine proposes this.
     fn end_expired_drills(&mut self, out: &mut Vec<Output>) {
         if self.copy.state.drills.0.is_empty() {
             return;
         }
-        let over = self.leases.expired(self.now, self.parameters.heartbeat_us, &self.copy.state.drills);
+        let expired = self.leases.expired(self.now, self.parameters.heartbeat_us, &self.copy.state.drills);
         if !(self.leads && self.is_fresh()) {
             return;
         }
-        for stop in over {
+        for stop in expired {
             self.propose_as_leader(Command::Drill(stop), out);
         }
     }
@@ -469,12 +477,12 @@
         }
     }
 
-    /// Whether this registry may speak for what the majority has agreed: its copy held all of it within [`FRESH_US`].
+    /// Whether this copy held everything that a majority had agreed on within the last [`FRESH_US`].
     fn is_fresh(&self) -> bool {
         self.store_up && self.now < self.fresh_until
     }
 
-    /// Something that only the registry beside the leader may do: it lands in this term or never.
+    /// Proposes a command that only the registry on the leader's machine may propose. It commits in this term or never.
     fn propose_as_leader(&mut self, command: Command, out: &mut Vec<Output>) -> u64 {
         let (ticket, term) = (self.next_ticket(), self.term);
         out.push(Output::Store(ToStore::Duty { ticket, term, command }));
@@ -494,7 +502,8 @@
         None
     }
 
-    /// A command that names no version of what it changes: this copy's revision is its fencing token.
+    /// Proposes a command that does not name the version it builds on; the revision of this copy is its fencing
+    /// token.
     fn propose_fenced(&mut self, id: u64, order: Command, out: &mut Vec<Output>) -> Option<Answer> {
         let seen = self.copy.rev();
         self.propose_command(id, Command::Fenced { seen, order: Box::new(order) }, out)
@@ -502,40 +511,43 @@
 
     fn propose_command(&mut self, id: u64, command: Command, out: &mut Vec<Output>) -> Option<Answer> {
         let ticket = self.next_ticket();
-        let refused = self.await_result(id, Awaited::Command { ticket, at: None, done: None });
-        if refused.is_none() {
+        let refusal = self.await_result(id, Awaited::Command { ticket, at: None, done: None });
+        if refusal.is_none() {
             out.push(Output::Store(ToStore::Propose { ticket, command }));
         }
-        refused
+        refusal
     }
 
-    /// A server tells of itself. Acknowledged once all that it tells is in the log; nearly always it is.
+    /// Takes a server's heartbeat. It is acknowledged once everything it reports is in the log, which is usually the
+    /// case already.
     fn heartbeat(&mut self, id: u64, server: &str, beat: Beat) -> Option<Answer> {
         if self.copy.state.has_gone(server) {
-            return Some(Answer::ok()); // a late call of a life that has ended, which is never taken back
+            return Some(Answer::ok()); // a late call of an instance that has left for good
         }
         let latest = self.presence.heartbeat(self.now, server, beat.sequence);
-        // The others do not hear what is said here: they would write off a server that stays.
+        // Without contact, the other registries do not learn of this heartbeat and would remove a live server. The
+        // server should call another registry.
         if !self.is_fresh() {
             return Some(Answer::unavailable(NOT_FRESH_MESSAGE));
         }
         let draining = beat.state == api::State::Draining;
         if !latest {
-            // It has said more since. That it leaves is acknowledged by what is agreed alone, whatever else was heard.
+            // A newer heartbeat has arrived. A report of draining is acknowledged only from the agreed state: what
+            // was merely heard could still be lost with the leader, and then no proxy would learn of it.
             let agreed = !draining || self.copy.state.servers.get(server).is_some_and(|s| s.draining);
             return Some(if agreed { Answer::ok() } else { Answer::unavailable("it has said more since") });
         }
         let cold_ms = u32::try_from(beat.cold_left_ms).unwrap_or(u32::MAX);
         let known = self.copy.state.servers.get(server);
         let version = beat.information.as_ref().and_then(|about| about.version.clone());
-        let tells_version = version.filter(|v| self.copy.state.versions.get(server) != Some(v));
+        let new_version = version.filter(|v| self.copy.state.versions.get(server) != Some(v));
         let change = match (known, beat.information) {
             (Some(s), _) if draining && !s.draining => ServerChange::Draining { id: server.into() },
-            // Told to be cold though it was taken for warm, or for warm again much sooner.
+            // Reported cold although it was known as warm, or again much longer than known.
             (Some(s), _) if !s.draining && calls::is_colder(s, self.now, cold_ms) => {
                 ServerChange::Cold { id: server.into(), left_ms: cold_ms }
             }
-            (Some(_), _) => match tells_version.clone() {
+            (Some(_), _) => match new_version.clone() {
                 Some(version) => ServerChange::Runs { id: server.into(), version },
                 None => return Some(Answer::ok()),
             },
@@ -551,8 +563,8 @@
             }),
             (None, None) => return Some(Answer::error(400, "information: needed at first")),
         };
-        let runs = tells_version.map(|version| ServerChange::Runs { id: server.into(), version });
-        for change in [Some(change), runs].into_iter().flatten() {
+        let version_change = new_version.map(|version| ServerChange::Runs { id: server.into(), version });
+        for change in [Some(change), version_change].into_iter().flatten() {
             if !self.server_changes.contains(&change) {
                 self.server_changes.push(change);
             }
@@ -580,8 +592,8 @@
         };
         let region = query.region.or_else(|| self.parameters.zones.get(query.zone.as_deref()?).cloned());
         let (zone, region) = (query.zone.as_deref(), region.as_deref());
-        // Cut off, nobody's silence says anything. Proxies that find a fresh registry are no longer heard of here; while
-        // some are, there is none, and what was agreed last holds.
+        // A registry that is cut off cannot conclude anything from silence. Proxies that find a fresh registry stop
+        // reporting here; while some still do, no registry is fresh, and the last agreed state is used.
         let fresh = self.is_fresh();
         if !fresh && !self.presence.hears_proxies(self.now) {
             return Some(Answer::unavailable(NOT_FRESH_MESSAGE));
@@ -605,7 +617,7 @@
         match message {
             FromStore::News(news) => self.apply_news(news, out),
             FromStore::Standing { core, fresh_ms, leads, term, asked } => {
-                // Whatever waited on its way counts from when it was asked for.
+                // Freshness counts from the time of the question, because the answer may have waited in the link.
                 let left = fresh_ms.and_then(|ms| FRESH_US.checked_sub(Micros::from(ms) * 1000));
                 let until = left.filter(|_| asked > 0).map_or(0, |left| asked + left);
                 if !self.is_fresh() && self.now < until {
@@ -623,14 +635,14 @@
                     let number = self.next_batch - 1;
                     match result {
                         Ok((rev, _)) => (self.committed_batch, self.committed_batch_rev) = (number, rev),
-                        // Its callers come again; the next to land must not pass for this one.
+                        // Its callers retry. The next batch to commit must not be taken for this one.
                         Err(_) => self.fail_batch(number, out),
                     }
                     return;
                 }
-                if self.leader_command_in_flight.is_some_and(|(t, _)| t == ticket) {
-                    self.leader_command_in_flight = None;
-                    self.leader_command_rev = result.map_or(self.leader_command_rev, |(rev, _)| rev);
+                if self.removal_in_flight.is_some_and(|(t, _)| t == ticket) {
+                    self.removal_in_flight = None;
+                    self.removal_rev = result.map_or(self.removal_rev, |(rev, _)| rev);
                     return;
                 }
                 if self.booking_in_flight.take_result(ticket, result.as_ref().ok().map(|(rev, _)| *rev)) {
@@ -680,7 +692,7 @@
         match self.copy.take(self.now, news) {
             Took::Changed => {}
             Took::Nothing => return,
-            // Begins anew from what is here.
+            // Asks the store for news from this copy's revision on.
             Took::Gap | Took::Broken => {
                 return out.push(Output::Store(ToStore::Follow { rev: self.copy.rev() }));
             }
@@ -696,7 +708,7 @@
         self.followers.feed(self.now, &self.copy, |link, down| out.push(Output::Proxy(link, down)));
     }
 
-    /// Hands what was gathered of servers and proxies to the store, one command at a time.
+    /// Proposes the gathered changes of servers and proxies, one command at a time.
     fn propose_batch(&mut self, out: &mut Vec<Output>) {
         if self.batch_in_flight.is_some_and(|(_, at)| self.now > at + 2 * CALL_TIMEOUT_US) {
             self.batch_in_flight = None;
@@ -722,14 +734,14 @@
         out.push(Output::Store(ToStore::Propose { ticket, command }));
     }
 
-    /// Answers those whose change has landed or whose time is up.
+    /// Answers calls whose change has been applied or whose time is up.
     fn answer_finished_calls(&mut self, out: &mut Vec<Output>) {
         let (rev, committed_batch, committed_batch_rev) =
             (self.copy.rev(), self.committed_batch, self.committed_batch_rev);
         let mut answers = Vec::new();
         for (id, call) in &self.pending_calls {
             let answer = match &call.awaited {
-                // Also when the answer is there by now: this process was stopped, and the caller has gone on.
+                // Even if a result has arrived by now: this process may have been paused, and the caller has gone on.
                 _ if call.deadline <= self.now => Some(Answer::unavailable("not agreed in time")),
                 Awaited::Batch(number) if *number <= committed_batch && committed_batch_rev <= rev => {
                     Some(Answer::ok())
@@ -785,25 +797,25 @@
         }
     }
 
-    /// A proxy that follows here is to be in the state. Many come at once where all start: those that come while others are on
-    /// their way into the log go with the next command.
+    /// Brings a following proxy into the agreed state. Many may join at once, for example when all start; those that
+    /// join while a batch is in flight go into the next one.
     fn register_proxy(&mut self, node: &Node) {
-        let joins = |change: &NodeChange| matches!(change, NodeChange::Up(joins) if joins == node);
+        let is_same = |change: &NodeChange| matches!(change, NodeChange::Up(up) if up == node);
         let in_state = self.copy.state.nodes.get(&node.ip) == Some(node);
-        if !in_state && !self.node_changes.iter().chain(&self.node_changes_in_flight).any(joins) {
+        if !in_state && !self.node_changes.iter().chain(&self.node_changes_in_flight).any(is_same) {
             self.node_changes.push(NodeChange::Up(node.clone()));
         }
     }
 
-    /// What followers of a region are told.
+    /// The standing message for followers in a region.
     fn standing_for(&self, region: &str) -> Down {
-        let place = |ip: &Ipv4Addr| (*ip, self.core_zones.get(ip).cloned().unwrap_or_default());
+        let zone_of = |ip: &Ipv4Addr| (*ip, self.core_zones.get(ip).cloned().unwrap_or_default());
         let nodes = self.copy.state.nodes.values().filter(|n| n.region == region);
         let away = nodes.map(|n| n.ip).filter(|ip| !self.presence.is_alive(self.now, &self.copy.state, *ip));
         Down::Standing(Standing {
             rev: self.copy.rev(),
             fresh_ms: self.is_fresh().then_some(0),
-            core: self.core.iter().map(place).collect(),
+            core: self.core.iter().map(zone_of).collect(),
             path: Vec::new(),
             head: self.relay_heads.get(region).copied(),
             away: away.collect(),
@@ -817,13 +829,13 @@
     }
 
     fn take_usage(&mut self, usage: Usage, gossiped: bool) {
-        let rises = self.meter.take(self.now, usage, gossiped);
+        let urgent = self.meter.take(self.now, usage, gossiped);
         let gather =
-            if rises { 0 } else { USAGE_GATHER_PER_PROXY_US * self.copy.state.nodes.len() as Micros };
+            if urgent { 0 } else { USAGE_GATHER_PER_PROXY_US * self.copy.state.nodes.len() as Micros };
         self.report_usage_at = self.report_usage_at.min(self.now + USAGE_GATHER_US.max(gather));
     }
 
-    /// Tells the other registries what was reported here, and the proxies what it all comes to.
+    /// Sends usage reports to the other registries and the readings of all usage to the proxies.
     fn send_readings(&mut self, out: &mut Vec<Output>) {
         self.report_usage_at = Micros::MAX;
         let usage = self.meter.take_unsent();
@@ -831,18 +843,19 @@
             self.send_gossip(Vec::new(), Vec::new(), usage, Vec::new(), Vec::new(), out);
         }
         let readings = self.meter.read(self.now, &self.copy.state);
-        let tells = self.meter.hears_most_proxies(self.now, &self.copy.state);
+        let complete = self.meter.hears_most_proxies(self.now, &self.copy.state);
         if !readings.is_empty() {
             for link in self.followers.links() {
                 out.push(Output::Proxy(link, Down::Meter(readings.clone(), Age::first(self.now))));
             }
             self.links_without_readings.clear();
         }
-        self.readings = tells.then_some((self.now, readings));
+        self.readings = complete.then_some((self.now, readings));
         self.send_missing_readings(out);
     }
 
-    /// A proxy that begins here knows nothing of what the others use: it is told at once, also that nothing is.
+    /// Sends the last readings to proxies that have just connected, because they know nothing of the others' usage.
+    /// Empty readings are sent too.
     fn send_missing_readings(&mut self, out: &mut Vec<Output>) {
         let Some((made_at, readings)) = &self.readings else { return };
         for link in std::mem::take(&mut self.links_without_readings) {
@@ -872,7 +885,7 @@
         }
     }
 
-    /// What is done from time to time.
+    /// Does the periodic work.
     fn run_round(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.report_usage_at.min(self.next_round) {
             self.send_readings(out);
@@ -899,27 +912,30 @@
         self.advance_bookings(out);
     }
 
-    /// Servers and proxies that nobody has heard of. Only beside a leader that has led long enough for all registries
-    /// to have told it what they hear: the others' silence would look the same.
+    /// Removes servers and proxies that no registry has heard of. Only done on the machine of a leader that has led
+    /// long enough for all registries to have sent what they hear; before that, members known to others look silent.
     fn remove_lost_members(&mut self, out: &mut Vec<Output>) {
         let (server_us, node_us) = (
             SERVER_LOST_HEARTBEATS * self.parameters.heartbeat_us,
             PROXY_LOST_SYNC_TIMES * self.parameters.max_sync_us,
         );
-        if self.leader_command_in_flight.is_some_and(|(_, at)| self.now > at + 2 * CALL_TIMEOUT_US) {
-            self.leader_command_in_flight = None;
+        if self.removal_in_flight.is_some_and(|(_, at)| self.now > at + 2 * CALL_TIMEOUT_US) {
+            self.removal_in_flight = None;
         }
-        let busy = self.batch_in_flight.is_some() || self.leader_command_in_flight.is_some();
-        if !(self.leads && self.is_fresh()) || busy || self.copy.rev() < self.leader_command_rev {
+        let busy = self.batch_in_flight.is_some() || self.removal_in_flight.is_some();
+        if !(self.leads && self.is_fresh()) || busy || self.copy.rev() < self.removal_rev {
             return;
         }
         let since = self.fresh_since.max(self.leads_since);
         let state = &self.copy.state;
-        let lost = |after: Micros| self.now > since + after;
-        let servers: Vec<String> =
-            if lost(server_us) { self.presence.silent_servers(self.now, server_us) } else { Vec::new() };
+        let observed_for = |after: Micros| self.now > since + after;
+        let servers: Vec<String> = if observed_for(server_us) {
+            self.presence.silent_servers(self.now, server_us)
+        } else {
+            Vec::new()
+        };
         let nodes: Vec<Ipv4Addr> =
-            if lost(node_us) { self.presence.silent_proxies(self.now, node_us) } else { Vec::new() };
+            if observed_for(node_us) { self.presence.silent_proxies(self.now, node_us) } else { Vec::new() };
         let servers = servers.into_iter().filter(|id| state.servers.contains_key(id));
         let servers: Vec<_> = servers.map(|id| ServerChange::Gone { id, said: false }).collect();
         let nodes = nodes.into_iter().filter(|ip| state.nodes.contains_key(ip));
@@ -929,6 +945,6 @@
             (true, false) => Command::Nodes(nodes),
             (true, true) => return,
         };
-        self.leader_command_in_flight = Some((self.propose_as_leader(command, out), self.now));
+        self.removal_in_flight = Some((self.propose_as_leader(command, out), self.now));
     }
 }
--- a/crates/registry/src/control_plane/booking.rs
+++ b/crates/registry/src/control_plane/booking.rs
@@ -1,4 +1,4 @@
-//! Calls on bookings, and the duty of turning and dividing them.
+//! Calls about bookings, and the leader's task of changing their phases and dividing them among proxies.
 
 use super::{CALL_TIMEOUT_US, ControlPlane, Output};
 use crate::bookings::{Capacity, booking_view, no_room_answer, refusal_answer, round_to_thousandths};
@@ -15,7 +15,8 @@
 
 const MAX_NAME_BYTES: usize = 64;
 
-/// A change on its way: its ticket, when it was sent, and where it has landed.
+/// The change of a booking that is in flight (its ticket and when it was sent), and the revision at which the last
+/// one committed.
 #[derive(Default)]
 pub(super) struct InFlight {
     sent: Option<(u64, u64)>,
@@ -23,27 +24,27 @@
 }
 
 impl InFlight {
-    /// Whether this was the ticket.
+    /// Takes the result of a command. Returns whether the ticket was the one in flight.
     pub(super) fn take_result(&mut self, ticket: u64, committed: Option<u64>) -> bool {
-        let ours = self.sent.is_some_and(|(t, _)| t == ticket);
-        if ours {
+        let is_own = self.sent.is_some_and(|(t, _)| t == ticket);
+        if is_own {
             self.sent = None;
             self.committed_rev = committed.unwrap_or(self.committed_rev);
         }
-        ours
+        is_own
     }
 }
 
 impl ControlPlane {
-    /// The time of day by this machine's clock; said before anything else is told.
+    /// Sets the time of day of this machine's clock. To be called before other inputs are handled.
     pub fn set_time_of_day(&mut self, now: u64, day_ms: DayMs) {
         self.clocks.set_own(now, day_ms);
     }
 
-    /// What the other registries are told of it.
+    /// The time of day to gossip; none if no booking needs it.
     pub(super) fn time_of_day_to_gossip(&self) -> Option<DayMs> {
-        let live = self.copy.state.bookings.values().any(|b| b.phase != Phase::Ended);
-        live.then(|| self.clocks.own(self.now)).flatten()
+        let needed = self.copy.state.bookings.values().any(|b| b.phase != Phase::Ended);
+        needed.then(|| self.clocks.own(self.now)).flatten()
     }
 
     pub(super) fn put_booking(
@@ -69,7 +70,7 @@
         let Some((day_ms, _)) = self.clocks.median(self.now) else {
             return Some(Answer::unavailable("no time of day is known here"));
         };
-        // What was taken already needs no room, whatever has become of it since.
+        // An identical booking that was accepted before needs no room, whatever has changed since.
         let known = self.copy.state.bookings.get(name);
         let unchanged = known.is_some_and(|k| k.booking == booking && !k.cancelled);
         if !unchanged && booking.closes_ms <= day_ms {
@@ -94,7 +95,7 @@
         }
         let considered = self.copy.state.bookings.consider(&booking, base, room);
         match considered {
-            // Another epoch may be on its way here: the log will say.
+            // This copy may be behind; the log decides on the epoch.
             Err(Unbooked::Outdated { .. }) if !dry_run_only => {}
             Err(why) => return Some(refusal_answer(&why)),
             Ok(()) => {}
@@ -191,22 +192,23 @@
         view.answer(body)
     }
 
-    /// What is due of the bookings. Only beside a leader that has led for long enough to have heard who is there, and by
-    /// a time of day that a majority of the core has told.
+    /// Proposes the next change of bookings that is due. Only done on the machine of a leader that has led long
+    /// enough to have heard which proxies are alive, and by a time of day that a majority of the core has reported.
     pub(super) fn advance_bookings(&mut self, out: &mut Vec<Output>) {
         if self.copy.state.bookings.is_empty() {
             return;
         }
         self.booking_scheduler.observe(self.now, &self.copy.state.bookings);
-        let Some((day_ms, of)) = self.clocks.median(self.now) else { return };
+        let Some((day_ms, clock_count)) = self.clocks.median(self.now) else { return };
         if self.booking_in_flight.sent.is_some_and(|(_, at)| self.now > at + 2 * CALL_TIMEOUT_US) {
             self.booking_in_flight.sent = None;
         }
         let since = self.fresh_since.max(self.leads_since);
-        let settled = self.now > since + self.parameters.heartbeat_us && 2 * of > self.core.len();
+        let well_informed =
+            self.now > since + self.parameters.heartbeat_us && 2 * clock_count > self.core.len();
         let busy =
             self.booking_in_flight.sent.is_some() || self.copy.rev() < self.booking_in_flight.committed_rev;
-        if !(self.leads && self.is_fresh() && settled) || busy {
+        if !(self.leads && self.is_fresh() && well_informed) || busy {
             return;
         }
         let state = &self.copy.state;
--- a/crates/registry/src/control_plane/rollout.rs
+++ b/crates/registry/src/control_plane/rollout.rs
@@ -1,4 +1,4 @@
-//! Calls that concern rollouts, and the duty to decide on them.
+//! Calls about rollouts, and the leader's task of deciding on them.
 
 use super::{Awaited, ControlPlane};
 use crate::calls::{Answer, Request};
@@ -14,7 +14,7 @@
 
 use super::Output;
 
-/// What of the rollouts a call asks for, once the state has come far enough to tell.
+/// Which rollouts a call asks for.
 pub(super) enum RolloutQuery {
     Of(String),
     All,
@@ -31,7 +31,8 @@
             Ok(order) => order,
             Err(why) => return Some(Answer::error(400, &why.to_string())),
         };
-        // A copy of the order may have been held up on its way: it is a new one only long after the end.
+        // A repeated copy of the order may arrive late, so an identical order starts a new rollout only long after
+        // the last one has ended.
         let ended = self.copy.state.rollouts.0.get(&order.service).filter(|r| r.stage.is_over());
         let held_up_us =
             self.parameters.order_repeat_us.max(Micros::from(order.term_ms) * 1000).max(MIN_ORDER_REPEAT_US);
@@ -46,7 +47,7 @@
         self.propose_fenced(id, Command::Rollout(RolloutChange::Stop { service }), out)
     }
 
-    /// Told by a state that holds all that is acknowledged by now.
+    /// Answered from a state that holds everything acknowledged by now.
     pub(super) fn show_rollouts(
         &mut self,
         id: u64,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What operators are told of a rollout. Machines need `server_state` and `target_version` alone.
+    /// A rollout as operators see it. Programs need only `server_state` and `target_version`.
     fn rollout_view(&self, rollout: &Rollout) -> JsonValue {
         let term_us = Micros::from(rollout.order.term_ms) * 1000;
         let left_ms = term_us.saturating_sub(rollout.age_us(self.now)) / 1000;
@@ -88,7 +89,7 @@
         view
     }
 
-    /// The servers of one side, as the proxies tell the sides apart, and what was counted of them.
+    /// The servers of one version, split as the proxies split them, and what was counted of their answers.
     fn side_view(&self, rollout: &Rollout, new: bool, counted: Option<Summary>) -> JsonValue {
         let state = &self.copy.state;
         let version = |s: &Server| state.versions.get(&s.id).map(String::as_str);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Beside the leader: takes the rollouts a step further.
+    /// Next to the leader, proposes the next steps of rollouts.
     pub(super) fn advance_rollouts(&mut self, out: &mut Vec<Output>) {
         if self.copy.state.rollouts.is_empty() {
             return;
@@ -136,7 +137,7 @@
             tally_us: tally_interval(self.parameters.heartbeat_us, proxies.len()),
             propagation_us: self.parameters.propagation_us,
         };
-        // A registry that has just come to lead has not been told yet what the others heard: it takes no version further.
+        // A registry whose store has just become leader does not have the others' tallies yet, so it only reverts.
         let informed = self.now >= self.fresh_since.max(self.leads_since) + self.parameters.heartbeat_us;
         let advance = |rollout: &Rollout| {
             let Step { to, reason } =
@@ -153,7 +154,7 @@
     range.map_or(JsonValue::Null, |r| jzon::object! { from: ms(r.from_us), below: r.below_us.map(ms) })
 }
 
-/// The same order as that of a rollout that has ended is a repeat for so long at the least.
+/// An order identical to that of an ended rollout counts as a repeat for at least this long.
 const MIN_ORDER_REPEAT_US: Micros = 60_000_000;
-/// How long an operator may repeat an order, where the settings do not tell.
+/// How long an operator repeats an order, where the settings do not say.
 pub const DEFAULT_ORDER_REPEAT_US: Micros = 10_000_000;
--- a/crates/registry/src/drills.rs
+++ b/crates/registry/src/drills.rs
@@ -1,44 +1,46 @@
-//! Until when drills may act, as far as this registry knows, on its own steady clock. The agreed state says that there is a
-//! drill, not until when: a log that is replayed would begin it anew. See docs/system/drills.md.
+//! Until when drills may act, as far as this registry knows, on its own steady clock. The agreed state holds only
+//! that a drill runs, not until when, because replaying the log would start its time anew. See docs/system/drills.md.
 
 use cluster::drill::{DrillChange, Drills};
 use cluster::talk::Lease;
 use cluster::{Micros, Rev};
 use std::collections::BTreeMap;
 
-/// A drill of which nobody can tell the end is ended after so many beats.
+/// A drill whose end no registry knows is ended after this many heartbeat intervals.
 const UNKNOWN_END_HEARTBEATS: Micros = 4;
 
 #[derive(Default)]
 pub struct Leases {
     ends: BTreeMap<Rev, Micros>,
-    /// Those without an end, and since when.
+    /// Drills without a known end, and since when that is so.
     unknown_end_since: BTreeMap<Rev, Micros>,
 }
 
 impl Leases {
-    /// An end that was heard of; only the first that is can be later than what was known.
+    /// Records when a drill ends. A later report can only bring the end forward: a message that was delayed names an
+    /// end that is too late.
     pub fn learn(&mut self, epoch: Rev, ends: Micros) {
         let known = self.ends.entry(epoch).or_insert(ends);
         *known = ends.min(*known);
     }
 
-    /// When a running drill ends.
+    /// When a running drill ends, if that is known.
     pub fn ends(&self, epoch: Rev) -> Option<Micros> {
         self.ends.get(&epoch).copied()
     }
 
-    /// What others are to be told.
+    /// The time left of all running drills, for registries and proxies.
     pub fn to_gossip(&self, now: Micros, drills: &Drills) -> Vec<Lease> {
         let left = |epoch: Rev| {
-            // Rounded up: told to and fro, an end would creep nearer else.
+            // Rounded up, because otherwise the end would creep closer with every exchange.
             let ms = self.ends.get(&epoch)?.saturating_sub(now).div_ceil(1000);
             (ms > 0).then_some(Lease { epoch, left_ms: u32::try_from(ms).unwrap_or(u32::MAX) })
         };
         drills.running().filter_map(|h| left(h.epoch)).collect()
     }
 
-    /// Those whose time is up, and those of which nobody can tell. For the registry beside the leader.
+    /// Changes that end drills whose time is up or whose end no registry knows. For the registry on the leader's
+    /// machine.
     pub fn expired(&mut self, now: Micros, heartbeat_us: Micros, drills: &Drills) -> Vec<DrillChange> {
         let running: BTreeMap<Rev, &str> =
             drills.running().map(|h| (h.epoch, h.drill.name.as_str())).collect();
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The registry. Its decisions stand in [`control_plane`]; `main.rs` is the shell around them.
+//! The registry: the control-plane process. Its state machine is in [`control_plane`]; `main.rs` connects it to
+//! sockets and the clock.
 
 pub mod bookings;
 pub mod calls;
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,5 +1,5 @@
-//! The shell of the registry: listeners and links around `registry::control_plane`. It takes the outside calls for the store of
-//! configuration too.
+//! The process around `registry::control_plane`: listeners, links and the clock. It takes outside calls for the
+//! configuration store too.
 
 use cluster::Rev;
 use cluster::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
@@ -21,13 +21,15 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What is left to callers that are being answered when the program is asked to end.
+/// Time for calls in progress to be answered after a request to stop.
 const DRAIN_US: Micros = 700_000;
-/// A configuration may be as large as the links between the processes carry.
+/// Size limits of a request in bytes. The body may be as large as a configuration that the links between processes
+/// carry.
 const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 4 << 20 };
-/// Descriptors for files, and other than connections.
+/// File descriptors that are not available for connections.
 const RESERVED_DESCRIPTORS: u64 = 64;
 
+/// What other threads post to the inbox of the main loop.
 enum Message {
     Call(u64, Request, Reply),
     CallClosed(u64),
@@ -41,10 +43,10 @@
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", work)
+    runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", run)
 }
 
-fn work(mut start: Start) -> Result<()> {
+fn run(mut start: Start) -> Result<()> {
     let worker = start.stage::<Message>()?;
     let (inbox, room) = (worker.inbox.clone(), start.room(worker.clock, RESERVED_DESCRIPTORS)?);
     let s = &start.settings;
@@ -91,11 +93,12 @@
     worker.work(runner, &ended)
 }
 
+// Values where the settings name none.
 const DEFAULT_DIRECTORY_TTL_S: f64 = 5.0;
 const DEFAULT_MAX_SYNC_S: f64 = 5.0;
 const DEFAULT_CONFIG_APPLY_MS: u64 = 3000;
 
-/// The desk behind both listeners: a call is read here and decided on by the control_plane.
+/// The handler of both listeners: reads a call and passes it to the control plane.
 struct CallDesk {
     inbox: Inbox<Message>,
     draining: Arc<AtomicBool>,
@@ -148,6 +151,7 @@
     Answer::new(answer.status, headers, answer.body.into_bytes())
 }
 
+/// The main loop: turns messages into inputs of the control plane and sends its outputs.
 struct Runner {
     control_plane: ControlPlane,
     store: Tie,
@@ -161,12 +165,12 @@
     draining: Arc<AtomicBool>,
     end: Sender<()>,
     exit_at: Option<Micros>,
-    /// The revision of the last step of a rollout that was logged.
+    /// The revision of the last rollout step that was logged.
     logged_rollouts_rev: Rev,
 }
 
 impl Runner {
-    /// Logs what rollouts have come to since the last time.
+    /// Logs the steps of rollouts since the last call.
     fn log_rollouts(&mut self) {
         let logged = self.logged_rollouts_rev;
         for rollout in self.control_plane.copy.state.rollouts.0.values().filter(|r| r.stage_rev > logged) {
@@ -227,7 +231,7 @@
             }
             Message::PeerEvent(_, Event::Up) | Message::ProxyEvent(_, Event::Up) => return None,
             Message::Asked(Asked::Stop) => {
-                log::info!("asked to end");
+                log::info!("stop requested");
                 self.draining.store(true, Ordering::Relaxed);
                 self.exit_at.get_or_insert(now + DRAIN_US);
                 return None;
--- a/crates/registry/src/meter.rs
+++ b/crates/registry/src/meter.rs
@@ -1,8 +1,8 @@
-//! The meter: what all proxies together do for each tenant. Each registry adds up what the proxies report, those that
-//! follow the other registries included, so there is no single one that could be lost.
+//! Usage metering of tenants over all proxies. Each registry adds up the reports of all proxies, including those that
+//! follow other registries, so metering does not depend on any single registry.
 //!
-//! A proxy that is not heard of counts as using its even share: it may. So a registry that is cut off from the others
-//! reads too much, never too little, and the proxies that follow it keep to less.
+//! A proxy without a recent report counts as using its even share, because it may do so. A registry that is cut off
+//! from the others therefore reads too much, never too little, and the proxies that follow it send less.
 
 use cluster::Micros;
 use cluster::state::State;
@@ -10,16 +10,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 
-/// Reports hold for so many times the time between two of them.
+/// A report stays valid for this many report intervals.
 const REPORT_VALID_INTERVALS: Micros = 3;
-/// Time over which smoothed_use are evened out, and how many roots of a sum a rise must come to for being taken at once.
+/// Time constant of the moving mean of what is used, in microseconds.
 const SMOOTHING_US: f64 = 1_500_000.0;
+/// A sum above the mean by more than this many square roots of it is taken at once.
 const SUDDEN_RISE_ROOTS: f64 = 3.0;
-/// A rise at one proxy that is more than chance: twice what it was, and so much in thousandths of a request a second.
+/// A report is a rise if demand has more than doubled and grown by this much besides, in thousandths of a request per
+/// second. Less may be chance.
 const MIN_RISE_MILLI_PER_S: u32 = 4_000;
-/// So many of so many proxies are most of them.
+/// Readings are meaningful once this part (numerator, denominator) of the proxies reports.
 const MOST_PROXIES: (usize, usize) = (3, 4);
-/// More than so many times its rate is wanted of a tenant in a flood.
+/// Demand for a tenant above this multiple of its rate is a flood.
 const FLOOD_FACTOR: f64 = 1.05;
 
 struct Report {
@@ -31,9 +33,10 @@
 pub struct Meter {
     report_interval_us: Micros,
     reports: BTreeMap<Ipv4Addr, Report>,
-    /// By tenant: when it was last read, and the mean of what was used.
+    /// By tenant: when it was last read, and the moving mean of what was used.
     smoothed_use: HashMap<u32, (Micros, f64)>,
-    /// By tenant with a quota: what is reported to be wanted, and from where on that is a flood.
+    /// By tenant with a quota: the reported demand, and the demand above which it is a flood, both in thousandths of
+    /// a request per second.
     flood_sums: HashMap<u32, (u64, u64)>,
 }
 
@@ -48,8 +51,8 @@
         }
     }
 
-    /// A report, from the proxy itself or by another registry (`told`). An older one than is known is passed over. True
-    /// if it tells of a rise that others should hear of at once.
+    /// Takes a report, from the proxy itself or from another registry (`gossiped`). A report older than the known one
+    /// is ignored. Returns true if it shows a rise that others should learn of at once.
     pub fn take(&mut self, now: Micros, usage: Usage, gossiped: bool) -> bool {
         let known = self.reports.get(&usage.ip);
         if known.is_some_and(|k| k.usage.life == usage.life && k.usage.count >= usage.count) {
@@ -66,7 +69,7 @@
         rises
     }
 
-    /// Whether a report makes what is wanted of a tenant a flood, which it was not before.
+    /// Updates the sums of demand and returns whether this report turns the demand for a tenant into a flood.
     fn starts_flood(&mut self, usage: &Usage) -> bool {
         let before = self.reports.get(&usage.ip).into_iter().flat_map(|r| &r.usage.tenants);
         let mut was: HashMap<u32, u64> = before.map(|u| (u.tenant, u64::from(u.wanted))).collect();
@@ -86,8 +89,8 @@
         floods
     }
 
-    /// Whether most proxies are heard of, so that what is read tells how things stand: not just after the start of this
-    /// registry.
+    /// Whether most proxies have reported recently. Not so just after a start of this registry, when readings do not
+    /// show the real usage.
     pub fn hears_most_proxies(&self, now: Micros, state: &State) -> bool {
         let heard = |r: &&Report| {
             now <= r.heard_at + REPORT_VALID_INTERVALS * self.report_interval_us
@@ -97,10 +100,10 @@
         heard * MOST_PROXIES.1 >= state.nodes.len() * MOST_PROXIES.0
     }
 
-    /// What was reported here since the last time, for the other registries.
+    /// Reports received here since the last call, for the other registries.
     pub fn take_unsent(&mut self) -> Vec<Usage> {
-        let fresh = self.reports.values_mut().filter(|r| !r.gossiped);
-        fresh
+        let unsent = self.reports.values_mut().filter(|r| !r.gossiped);
+        unsent
             .map(|r| {
                 r.gossiped = true;
                 r.usage.clone()
@@ -108,7 +111,7 @@
             .collect()
     }
 
-    /// Requests a second that were lately asked for a tenant, by the proxies that are heard of.
+    /// Recent demand for a tenant in requests per second, from the proxies with valid reports.
     pub fn demand_per_s(&self, now: Micros, tenant: &str) -> f64 {
         let key = tenant_key(tenant);
         let heard = self
@@ -119,7 +122,7 @@
         uses.fold(0.0, |sum, u| sum + f64::from(u.wanted) / 1000.0)
     }
 
-    /// What a proxy that is heard of reports under a key.
+    /// What a proxy's valid report says under a key.
     pub fn usage_of(&self, now: Micros, key: u32, ip: Ipv4Addr) -> Option<Use> {
         let report = self
             .reports
@@ -128,15 +131,15 @@
         report.usage.tenants.iter().find(|u| u.tenant == key).copied()
     }
 
-    /// Readings of all tenants that have a quota and that anybody asks anything for.
+    /// Readings of all tenants that have a quota and any demand.
     pub fn read(&mut self, now: Micros, state: &State) -> Vec<Reading> {
         self.reports.retain(|ip, _| state.nodes.contains_key(ip));
         let Some(config) = &state.config else { return Vec::new() };
         let nodes = state.nodes.len().max(1);
-        let hold = REPORT_VALID_INTERVALS * self.report_interval_us;
+        let valid_us = REPORT_VALID_INTERVALS * self.report_interval_us;
         let mut uses: HashMap<u32, Vec<Use>> = HashMap::new();
         let mut unheard_proxies = nodes;
-        for r in self.reports.values().filter(|r| now <= r.heard_at + hold) {
+        for r in self.reports.values().filter(|r| now <= r.heard_at + valid_us) {
             unheard_proxies -= 1;
             r.usage.tenants.iter().for_each(|u| uses.entry(u.tenant).or_default().push(*u));
         }
@@ -153,7 +156,7 @@
             let (at, mean) = self.smoothed_use.entry(tenant).or_insert((now, all_used));
             *mean = smoothed(*mean, all_used, now.saturating_sub(*at) as f64);
             *at = now;
-            // Rounded once: with many proxies each part is only a few thousandths.
+            // Rounded only once, because with many proxies each part is just a few thousandths.
             let even = 1.0 / nodes as f64;
             let part = |u: &Use| (f64::from(u.wanted) / 1000.0 / all_wanted.max(0.001)).max(even);
             let shares = uses.iter().map(part).sum::<f64>() + (nodes - uses.len().min(nodes)) as f64 * even;
@@ -165,8 +168,8 @@
     }
 }
 
-/// A moving mean that follows at once what chance does not explain: requests that come by chance at a rate are seldom
-/// off by more than a few roots of it.
+/// A moving mean that jumps at once to a value above what chance explains: the count of random arrivals rarely
+/// exceeds its mean by more than a few times the square root.
 fn smoothed(mean: f64, now: f64, passed_us: f64) -> f64 {
     if now > mean + SUDDEN_RISE_ROOTS * mean.max(1.0).sqrt() {
         return now;
--- a/crates/registry/src/presence.rs
+++ b/crates/registry/src/presence.rs
@@ -1,5 +1,5 @@
-//! Who is heard of: servers by their calls, proxies by their reports. Not agreed, only passed on: each registry tells
-//! the others what it heard, and judges for itself.
+//! Liveness of servers (by their heartbeats) and proxies (by their reports). It is not agreed on but gossiped: each
+//! registry sends the others what it has heard, and each decides for itself.
 
 use cluster::Micros;
 use cluster::state::{Node, State};
@@ -8,25 +8,27 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A proxy that has not been heard of for so many reports is not named to clients.
+/// A proxy is not named to clients after this many report intervals without a report.
 const UNHEARD_REPORTS: Micros = 3;
-/// One whose watchers do not hear it either, for so many.
+/// The same for a proxy that its watchers do not hear either.
 const SUSPECTED_UNHEARD_REPORTS: Micros = 2;
-/// Those that told it to a registry that is silent itself have so many beats more to find another one.
+/// Members that reported to a registry that is now silent get this many more heartbeat intervals to find another one.
 const FAILOVER_HEARTBEATS: Micros = 2;
-/// A registry is silent after so many of its rounds, in halves.
+/// A registry is silent after this many half rounds without gossip (six half rounds per heartbeat interval).
 const SILENT_HALF_ROUNDS: Micros = 3;
-/// Where no registry is fresh, each proxy comes by within so many beats.
+/// While no registry is fresh, each proxy tries this one again within this many heartbeat intervals.
 const PROXY_VISIT_HEARTBEATS: Micros = 4;
-/// Most addresses of an answer.
+/// The most addresses in one answer of the directory.
 const MAX_ADDRESSES: usize = 64;
+/// Members that are not in the agreed state are forgotten after this many heartbeat intervals of silence.
+const FORGET_HEARTBEATS: Micros = 20;
 
 struct Server {
-    /// The number of its last call.
+    /// The sequence number of its last heartbeat.
     sequence: u64,
     heard_at: Micros,
     gossiped: bool,
-    /// The registry that told of it.
+    /// The registry it reported to; none: this one.
     reported_by: Option<Ipv4Addr>,
 }
 
@@ -42,9 +44,9 @@
     heartbeat_us: Micros,
     servers: BTreeMap<String, Server>,
     proxies: BTreeMap<Ipv4Addr, Proxy>,
-    /// Who is suspected, by whom, and in which life.
+    /// For each suspected proxy, the proxies that suspect it and the life (process start) they mean.
     suspected: BTreeMap<Ipv4Addr, BTreeMap<Ipv4Addr, u64>>,
-    /// When the other registries last spoke.
+    /// When each of the other registries last sent gossip.
     registries: BTreeMap<Ipv4Addr, Micros>,
 }
 
@@ -54,7 +56,7 @@
         Presence { started: now, heartbeat_us, servers, proxies, suspected, registries: BTreeMap::new() }
     }
 
-    /// A server has called here. False if it has already said more.
+    /// Takes a server's heartbeat. Returns false if a newer one is known.
     pub fn heartbeat(&mut self, now: Micros, id: &str, sequence: u64) -> bool {
         self.record_server(now, id, sequence, None)
     }
@@ -76,7 +78,7 @@
         }
     }
 
-    /// A proxy has reported, here or below.
+    /// Takes a proxy's report that came to this registry, directly or through a relay.
     pub fn proxy_reported(&mut self, now: Micros, seen: Seen) {
         self.record_proxy(now, seen, None);
     }
@@ -111,23 +113,24 @@
         }
     }
 
-    /// What was heard here since the last time, for the other registries.
+    /// What this registry has heard since the last call, for the other registries.
     pub fn take_unsent(&mut self) -> (Vec<(String, u64)>, Vec<Seen>) {
-        let fresh = self.servers.iter_mut().filter(|(_, s)| !s.gossiped);
-        let servers = fresh.map(|(id, s)| {
+        let unsent = self.servers.iter_mut().filter(|(_, s)| !s.gossiped);
+        let servers = unsent.map(|(id, s)| {
             s.gossiped = true;
             (id.clone(), s.sequence)
         });
         let servers = servers.collect();
-        let fresh = self.proxies.values_mut().filter(|p| !p.gossiped);
-        let nodes = fresh.filter_map(|p| {
+        let unsent = self.proxies.values_mut().filter(|p| !p.gossiped);
+        let nodes = unsent.filter_map(|p| {
             p.gossiped = true;
             p.last.clone()
         });
         (servers, nodes.collect())
     }
 
-    /// Who is in the state counts as heard of when that was first known; who has left it is forgotten.
+    /// Members of the agreed state count as heard when they were first known; those no longer in it are forgotten
+    /// after some time.
     pub fn sync_with_state(&mut self, now: Micros, state: &State) {
         for id in state.servers.keys() {
             if !self.servers.contains_key(id) {
@@ -137,8 +140,8 @@
                 );
             }
         }
-        let (beat, forget) = (self.heartbeat_us, |heard: Micros, beat: Micros| now > heard + 20 * beat);
-        self.servers.retain(|id, s| state.servers.contains_key(id) || !forget(s.heard_at, beat));
+        let forget_us = FORGET_HEARTBEATS * self.heartbeat_us;
+        self.servers.retain(|id, s| state.servers.contains_key(id) || now <= s.heard_at + forget_us);
         for ip in state.nodes.keys() {
             self.proxies.entry(*ip).or_insert(Proxy {
                 last: None,
@@ -147,15 +150,15 @@
                 reported_by: None,
             });
         }
-        self.proxies.retain(|ip, p| state.nodes.contains_key(ip) || !forget(p.heard_at, beat));
+        self.proxies.retain(|ip, p| state.nodes.contains_key(ip) || now <= p.heard_at + forget_us);
     }
 
-    /// When a server last called, here or where it was told of.
+    /// When a server's last heartbeat arrived, here or at another registry.
     pub fn server_heard_at(&self, id: &str) -> Option<Micros> {
         self.servers.get(id).filter(|s| s.sequence > 0).map(|s| s.heard_at)
     }
 
-    /// When a proxy last reported, and what.
+    /// When a proxy last reported, and its report.
     pub fn proxy_heard(&self, ip: Ipv4Addr) -> Option<(Micros, &Seen)> {
         let p = self.proxies.get(&ip)?;
         p.last.as_ref().map(|seen| (p.heard_at, seen))
@@ -169,14 +172,15 @@
         lost.map(|(id, _)| id.clone()).collect()
     }
 
-    /// How much longer the silence of somebody is borne of whom this registry told: it may be the only one that is silent.
+    /// How much more silence of a member is accepted if the registry it reported to is silent itself; that registry
+    /// may be the only one that has failed.
     fn failover_allowance(&self, now: Micros, reported_by: Option<Ipv4Addr>) -> Micros {
-        let spoke = reported_by.and_then(|by| self.registries.get(&by));
-        let silent = spoke.is_some_and(|at| now > at + SILENT_HALF_ROUNDS * self.heartbeat_us / 6);
+        let last_gossip = reported_by.and_then(|by| self.registries.get(&by));
+        let silent = last_gossip.is_some_and(|at| now > at + SILENT_HALF_ROUNDS * self.heartbeat_us / 6);
         if silent { FAILOVER_HEARTBEATS * self.heartbeat_us } else { 0 }
     }
 
-    /// Whether any proxy has reported here lately, and not to another registry since.
+    /// Whether any proxy has reported here recently and not to another registry since.
     pub fn hears_proxies(&self, now: Micros) -> bool {
         let here = |p: &Proxy| p.last.is_some() && p.reported_by.is_none();
         let heard = |p: &Proxy| here(p) && now <= p.heard_at + PROXY_VISIT_HEARTBEATS * self.heartbeat_us;
@@ -187,8 +191,8 @@
         self.proxies.iter().filter(|(_, p)| now > p.heard_at + for_us).map(|(ip, _)| *ip).collect()
     }
 
-    /// Whether clients may be sent to this proxy. One of which a registry that has just started knows nothing yet is
-    /// taken for alive, for as long as reports may be late.
+    /// Whether clients may be sent to this proxy. While this registry has just started and knows nothing of a proxy
+    /// yet, the proxy counts as alive for as long as its report may take.
     pub fn is_alive(&self, now: Micros, state: &State, ip: Ipv4Addr) -> bool {
         match self.proxies.get(&ip) {
             Some(Proxy { last: Some(last), heard_at, reported_by, .. }) => {
@@ -206,7 +210,7 @@
         reports * self.heartbeat_us / 3 + self.heartbeat_us / 6
     }
 
-    /// Whether enough of its watchers, of those that are heard of, do not hear this life of a proxy.
+    /// Whether enough of the watchers of a proxy that are heard themselves do not hear its current life.
     fn is_suspected(&self, now: Micros, state: &State, last: &Seen) -> bool {
         let (Some(by), Some(node)) = (self.suspected.get(&last.ip), state.nodes.get(&last.ip)) else {
             return false;
@@ -218,9 +222,9 @@
         count > 0 && count >= watch::enough(&state.nodes, node)
     }
 
-    /// The proxies for a client of this zone: those of its zone, else of its region, else all; alive ones, and where
-    /// none seems alive those that are known, as it may be this registry that hears nothing. Not `fresh`: all that have
-    /// not said that they end.
+    /// The proxies for a client of this zone: those of its zone, else of its region, else all. Live ones are
+    /// preferred; if none seems alive, all known ones are named, because it may be this registry that hears nothing.
+    /// If the copy is not fresh, all proxies are named that have not reported to be shutting down.
     pub fn choose_proxies<'s>(
         &self,
         now: Micros,
@@ -229,13 +233,14 @@
         region: Option<&str>,
         fresh: bool,
     ) -> Vec<&'s Node> {
-        let ends = |ip| self.proxies.get(&ip).and_then(|p| p.last.as_ref()).is_some_and(|last| !last.ready);
-        let serves = |ip| if fresh { self.is_alive(now, state, ip) } else { !ends(ip) };
-        let near: [&dyn Fn(&Node) -> bool; 3] =
+        let is_stopping =
+            |ip| self.proxies.get(&ip).and_then(|p| p.last.as_ref()).is_some_and(|last| !last.ready);
+        let is_usable = |ip| if fresh { self.is_alive(now, state, ip) } else { !is_stopping(ip) };
+        let nearness: [&dyn Fn(&Node) -> bool; 3] =
             [&|n| zone.is_some_and(|z| n.zone == z), &|n| region.is_some_and(|r| n.region == r), &|_| true];
         for alive in [true, false] {
-            for near in near {
-                let fits = |n: &&Node| near(n) && (!alive || serves(n.ip));
+            for near in nearness {
+                let fits = |n: &&Node| near(n) && (!alive || is_usable(n.ip));
                 let found: Vec<&Node> = state.nodes.values().filter(fits).take(MAX_ADDRESSES).collect();
                 if !found.is_empty() {
                     return found;
--- a/crates/registry/src/rollouts.rs
+++ b/crates/registry/src/rollouts.rs
@@ -1,7 +1,8 @@
-//! Rollouts at the registry: what proxies have counted of the two versions, and what follows from it. No I/O, no clock.
+//! Evaluation of rollouts: what proxies have counted of the old and the new version, and the next step that follows.
+//! No I/O, no clock.
 //!
-//! Every registry gathers the tallies; the one beside the leader decides. How sure a decision is, and how that was measured:
-//! docs/system/rollouts.md.
+//! Every registry gathers the tallies; the one on the leader's machine decides. docs/system/rollouts.md has the error
+//! rates of the decision and how they were measured.
 
 mod evidence;
 mod summary;
@@ -15,52 +16,55 @@
 pub use summary::{Summary, TimeRange};
 pub use tallies::Tallies;
 
-/// A tally counts as current for so many intervals between two of them.
+/// A tally is current for this many tally intervals.
 const TALLY_INTERVALS: Micros = 6;
 
-/// When the stages of a rollout end at the earliest, as parts of its term. A version may turn bad some seconds after its
-/// start, so a trial lasts as long as its share of the requests and the later stages leave time for.
+/// The earliest and latest ends of a rollout's stages, as parts of its term. A version may turn bad some seconds
+/// after its start, so the trial lasts as long as its exposure limit and the time for the later stages allow.
 const TRIAL_END: f64 = 0.45;
 const PARTIAL_DURATION: f64 = 0.16;
-/// A version is at the partial stage no longer than this: if it is bad, that is what it may cost.
+/// The longest partial stage; this limits the exposure to a bad version.
 const PARTIAL_MAX_DURATION: f64 = 0.20;
-/// Where a trial took longer, as after a change of the leader, the partial stage ends from here on if it had its least part.
+/// After a long trial, for example one with a change of leader, the partial stage may end from this part of the term
+/// on if it has had its minimum duration.
 const LATE_PARTIAL_END: f64 = 0.68;
 const PARTIAL_MIN_DURATION: f64 = 0.08;
-/// A trial that has not shown enough by then is reverted, so that it is over by the term.
+/// A trial without enough evidence by then is reverted, so that the rollout is over within its term.
 const TRIAL_DEADLINE: f64 = 0.85;
-/// From then on a rollout that is whole waits for the old servers to be idle only as long as proxies take to leave them.
+/// From then on, a rollout that is whole no longer waits for the old servers to be idle, but only for proxies to stop
+/// sending to them.
 const COMPLETE_FROM: f64 = 0.85;
 
-/// Answers of the new version without which a trial says nothing: over all routes, and on a route that is much used; and
-/// without which the partial stage says nothing.
+/// The fewest answers of the new version that a verdict on the trial needs, over all routes and on each busy route,
+/// and the fewest that a verdict on the partial stage needs. A route is busy from `BUSY_ROUTE_ANSWERS` answers of the
+/// old version on.
 const MIN_ANSWERS: u32 = 20;
 const MIN_ROUTE_ANSWERS: u32 = 15;
 const BUSY_ROUTE_ANSWERS: u32 = 200;
 const MIN_PARTIAL_ANSWERS: u32 = 10;
-/// A version goes on only while at least one proxy in so many tells what it counts.
+/// A version advances only while at least one in this many proxies reports current tallies.
 const REPORTING_ONE_IN: usize = 4;
-/// Once the new version serves alone there is nothing beside it, and what troubles all looks like a fault of it: so much more
-/// is borne then.
+/// Extra tolerance for the whole stage: there is no old version to compare with any more, so a problem of all servers
+/// looks like a fault of the new version.
 const WHOLE_TOLERANCE: f64 = 0.2;
-/// As long as this many answers of a version's warm servers are missing on the busiest route, its times are not known; a
-/// trial waits for them until this part of its term.
+/// With fewer timed answers of the new version's warm servers on the busiest route, its response times are unknown; a
+/// trial waits for them until `WARM_WAIT_END`, a part of its term.
 const MIN_WARM_ANSWERS: u32 = 150;
 const WARM_WAIT_END: f64 = 0.50;
 
-/// What a rollout is judged beside.
+/// What the evaluation of a rollout is based on.
 pub struct Evaluation<'a> {
     pub now: Micros,
     pub tallies: &'a Tallies,
     /// The proxies that serve.
     pub proxies: &'a [Ipv4Addr],
-    /// Between two tallies of a proxy.
+    /// The interval between two tallies of a proxy.
     pub tally_us: Micros,
-    /// Within so long every proxy in touch has taken up what was agreed.
+    /// Every reachable proxy has applied a committed change within this time.
     pub propagation_us: Micros,
 }
 
-/// A step of a rollout, and why.
+/// A change of a rollout's stage, and the reason for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
     pub to: Stage,
@@ -74,7 +78,7 @@
 }
 
 impl Evaluation<'_> {
-    /// What is to become of a running rollout now, if anything.
+    /// The next step of a running rollout, if one is due.
     pub fn step(&self, rollout: &Rollout) -> Option<Step> {
         let term_us = f64::from(rollout.order.term_ms) * 1000.0;
         let intervals = self.tallies.intervals(rollout.epoch);
@@ -114,7 +118,7 @@
         }
     }
 
-    /// From then on a tally counts as current.
+    /// Tallies received from then on are current.
     fn current_from(&self) -> Micros {
         self.now.saturating_sub(TALLY_INTERVALS * self.tally_us)
     }
@@ -128,7 +132,8 @@
         reporting > 0 && reporting * REPORTING_ONE_IN >= self.proxies.len()
     }
 
-    /// A verdict needs proxies that tell, and answers of the new version on each route that is much used.
+    /// A verdict on the trial needs proxies that report, answers of the new version on each busy route, and known
+    /// response times.
     fn trial_has_enough_data(&self, rollout: &Rollout, age: f64) -> bool {
         let mut ended: BTreeMap<u32, (u32, u32)> = BTreeMap::new();
         let mut warm: BTreeMap<u32, u32> = BTreeMap::new();
@@ -144,7 +149,7 @@
         self.enough_report(rollout) && new >= MIN_ANSWERS && timed && ended.values().all(each)
     }
 
-    /// The next stage needs answers that were counted at the partial one.
+    /// A verdict on the partial stage needs answers that were counted during it.
     fn partial_has_enough_data(&self, rollout: &Rollout) -> bool {
         let since = self.now.saturating_sub(rollout.stage_age_us(self.now));
         let new = self.tallies.since(rollout.epoch, since).flat_map(|i| i.routes.values());
@@ -152,8 +157,8 @@
         self.enough_report(rollout) && new >= MIN_PARTIAL_ANSWERS
     }
 
-    /// Proxies that are silent are waited for as long as those in touch may take; those that have something out at the old
-    /// servers until the term is near.
+    /// Completes the rollout once no proxy uses the old servers. Silent proxies are waited for only for the
+    /// propagation time; proxies with requests in flight at old servers until the term is near.
     fn completion_step(&self, rollout: &Rollout, age: f64) -> Option<Step> {
         let from = self.current_from();
         let stage_age_us = rollout.stage_age_us(self.now);
@@ -172,7 +177,7 @@
     }
 }
 
-/// Ages as parts of the term.
+/// Whether the partial stage may end. Ages are parts of the term.
 fn partial_is_over(age: f64, stage_age: f64) -> bool {
     stage_age >= PARTIAL_DURATION || (age >= LATE_PARTIAL_END && stage_age >= PARTIAL_MIN_DURATION)
 }
--- a/crates/registry/src/rollouts/evidence.rs
+++ b/crates/registry/src/rollouts/evidence.rs
@@ -1,43 +1,46 @@
-//! How strongly what was counted speaks against a new version: a sequential test of two shares that may be looked at as often
-//! as wished.
+//! The strength of the evidence against a new version: a sequential test of two proportions that may be evaluated as
+//! often as wished.
 //!
-//! The share of bad answers of the new version is held against that of the old one over the same time, plus a tolerance. The
-//! ratio of likelihoods is averaged over several larger shares (the mixture of Robbins 1970, as Johari, Pekelis and Walsh 2017
-//! use it for tests that are watched), and summed over all times from which the version may have been bad (Roberts 1966). At
-//! the border of what is tolerated that sum is on average the number of looks, so it exceeds `looks / chance` with at most
-//! this chance, whenever one looks. The old version's share is itself an estimate; it is taken larger by one standard
-//! deviation.
+//! The share of bad answers of the new version is compared with that of the old one over the same time, plus a
+//! tolerance. The likelihood ratio is averaged over several larger shares (the mixture of Robbins 1970, used by
+//! Johari, Pekelis and Walsh 2017 for tests under continuous monitoring) and summed over all times at which the
+//! version may have turned bad (Roberts 1966). If the share is exactly at the tolerance, that sum is on average the
+//! number of evaluations, so it exceeds `evaluations / chance` with at most this chance, whenever one looks. The old
+//! version's share is itself an estimate, so one standard deviation is added to it.
 
 use super::tallies::Interval;
 use cluster::rollout::{Answers, RouteTally};
 use std::collections::BTreeSet;
 
-/// A good version may be reverted with this chance, were its servers alike.
+/// Accepted chance that a good version is reverted, if its servers were all alike.
 const FALSE_REVERT_CHANCE: f64 = 0.005;
-/// Differences that are borne: of failures, and of slow answers, as servers of one version differ.
+/// Tolerated differences in the shares of failed and of slow answers, because servers of one version differ too.
 const FAILED_TOLERANCE: f64 = 0.03;
 const SLOW_TOLERANCE: f64 = 0.04;
-/// Bad versions are looked for whose share of bad answers is larger by these parts of what remains to all.
+/// The test looks for versions whose share of bad answers is larger than tolerated by these parts of the remaining
+/// answers.
 const EXCESS_SHARES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
-/// Fewer bad answers than this are no reason to revert, or to wait.
+/// With fewer failed answers there is no reason to revert, or to wait.
 const MIN_BAD_ANSWERS: u32 = 5;
 const MIN_DOUBTFUL_FAILED: u32 = 3;
-/// Likewise for slow answers, of which a good version has some.
+/// The same for slow answers, of which a good version has some too.
 const MIN_DOUBTFUL_SLOW: u32 = 8;
-/// Evidence that is enough to wait: the likelihoods' ratio over any span of time, and over all of it.
+/// Likelihood ratios that are enough to wait: over any span of time, and over all of it.
 const DOUBT_ANY_SPAN: f64 = 20.0;
 const DOUBT_WHOLE_SPAN: f64 = 0.5;
-/// The old version's share is taken from as long a time as it takes to have so many of its answers.
+/// The old version's share is taken over a span long enough to have this many of its answers.
 const MIN_OLD_ANSWERS: u32 = 100;
-/// As many answers of all routes count beside those of a route, so that one that is little used is not without an estimate.
+/// On one route, this many answers with the share of all routes are added to the old version's, so that a route with
+/// little traffic has an estimate too.
 const PRIOR_ANSWERS: f64 = 50.0;
-/// The part of the old version's answers that take longest; answers are slow that take longer than those by so many buckets.
+/// An answer is slow if it is more than `SLOW_BUCKETS` buckets above the one that at most this part of the old
+/// version's answers exceeds.
 const SLOW_PART: f64 = 0.25;
 const SLOW_BUCKETS: usize = 2;
-/// Fewer answers of the old version than this say nothing of times.
+/// With fewer timed answers of the old version, times are not compared.
 const MIN_TIMED_ANSWERS: u32 = 40;
 
-/// What speaks against a version.
+/// The evidence against a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Finding {
     /// Enough to revert.
@@ -47,7 +50,7 @@
     Nothing,
 }
 
-/// A part of a whole, counted.
+/// A count of bad answers (`part`) out of all (`whole`).
 #[derive(Clone, Copy, Default)]
 struct Share {
     part: u32,
@@ -59,19 +62,20 @@
         Share { part: self.part + other.part, whole: self.whole + other.whole }
     }
 
-    /// Smoothed, so that none of few is not taken for never, and larger by its standard deviation.
+    /// The share plus its standard deviation, smoothed so that zero out of a few is not taken as impossible.
     fn upper(self) -> f64 {
         self.upper_beside(0.5, 1.0)
     }
 
-    /// As if so many more had been counted, and so many of them bad.
+    /// The same, as if `whole` more answers had been counted, `part` of them bad.
     fn upper_beside(self, part: f64, whole: f64) -> f64 {
         let whole = f64::from(self.whole) + whole;
         let rate = (f64::from(self.part) + part) / whole;
         rate + (rate * (1.0 - rate) / whole).sqrt()
     }
 
-    /// How much likelier it is under larger shares than under this one, on average over these; as a logarithm.
+    /// The logarithm of the likelihood ratio: how much likelier the counts are under shares larger than `tolerated`,
+    /// averaged over these, than under `tolerated`.
     fn likelihood_ratio(self, tolerated: f64) -> f64 {
         let (bad, good) = (f64::from(self.part), f64::from(self.whole - self.part));
         let of = |excess: f64| {
@@ -82,7 +86,7 @@
     }
 }
 
-/// The logarithm of a sum of numbers that are given by their logarithms.
+/// The logarithm of a sum of numbers given by their logarithms.
 fn log_sum(logs: impl IntoIterator<Item = f64> + Clone) -> f64 {
     let most = logs.clone().into_iter().fold(f64::NEG_INFINITY, f64::max);
     if most == f64::NEG_INFINITY {
@@ -91,7 +95,8 @@
     most + logs.into_iter().map(|l| (l - most).exp()).sum::<f64>().ln()
 }
 
-/// The two versions' shares of one kind of bad answer, for each span of time from some interval until now, the shortest first.
+/// Both versions' shares of one kind of bad answer, for each span of time from some interval until now, the shortest
+/// first.
 struct Spans {
     old: Vec<Share>,
     new: Vec<Share>,
@@ -110,17 +115,17 @@
         spans
     }
 
-    /// What of the old version is to be reckoned with over a span.
+    /// The old version's share to compare with for a span.
     fn old(&self, span: usize) -> Share {
         let enough = self.old[span..].iter().find(|o| o.whole >= MIN_OLD_ANSWERS).or(self.old.last());
         enough.copied().unwrap_or_default()
     }
 }
 
-/// What a version's shares are held against.
+/// One comparison of the two versions.
 struct Comparison<'s> {
     spans: &'s Spans,
-    /// Those of all routes, where these are of one.
+    /// The shares over all routes, if `spans` are of a single route.
     all: Option<&'s Spans>,
     tolerance: f64,
     min_doubtful: u32,
@@ -138,7 +143,7 @@
         Comparison { spans, all: None, tolerance, min_doubtful, what: "were slow" }
     }
 
-    /// The largest share that is borne over a span.
+    /// The largest share of bad answers that is tolerated over a span.
     fn tolerated(&self, span: usize) -> f64 {
         let old = self.spans.old(span);
         let expected = match self.all.map(|all| all.old(span).upper()) {
@@ -149,11 +154,11 @@
     }
 }
 
-/// What was counted of a rollout, and how often it is looked at.
+/// What was counted of a rollout, and how often it is evaluated.
 pub(super) struct Evidence<'a> {
     pub(super) intervals: &'a [Interval],
     pub(super) evaluations: f64,
-    /// Differences that are borne besides the usual ones.
+    /// Tolerated differences in addition to the usual ones.
     pub(super) extra_tolerance: f64,
 }
 
@@ -169,7 +174,7 @@
             let on_route = |i: &Interval| i.routes.get(&route).map(failures).unwrap_or_default();
             let spans = Spans::of(self.intervals, on_route);
             findings.push(self.evaluate(Comparison::failed(&spans, Some(&all)), threshold));
-            // Times of several routes are not alike, so these are compared route by route alone.
+            // Routes differ in their response times, so times are compared only route by route.
             if let Some(spans) = self.slow_spans(route) {
                 findings.push(self.evaluate(Comparison::slow(&spans), threshold));
             }
@@ -206,7 +211,7 @@
     shares.fold(Default::default(), |(old, new): (Share, Share), (o, n)| (old.plus(o), new.plus(n)))
 }
 
-/// The bucket from which on an answer is slow: beyond all but the slowest of the old version.
+/// The bucket from which on an answer is slow, derived from the old version's times.
 fn slow_from(old: &[u32]) -> Option<usize> {
     let whole: u32 = old.iter().sum();
     if whole < MIN_TIMED_ANSWERS {
@@ -226,7 +231,7 @@
     let mut ratios: Vec<(f64, usize)> = Vec::new();
     for (span, new) in spans.new.iter().enumerate().filter(|(_, new)| new.part > 0) {
         let tolerated = comparison.tolerated(span);
-        // What is no larger than what is borne adds nothing to speak of.
+        // A share within the tolerance adds next to nothing.
         if f64::from(new.part) > tolerated * f64::from(new.whole) {
             ratios.push((new.likelihood_ratio(tolerated), span));
         }
--- a/crates/registry/src/rollouts/summary.rs
+++ b/crates/registry/src/rollouts/summary.rs
@@ -1,23 +1,23 @@
-//! What operators see of both versions while a rollout runs.
+//! The summary of both versions that operators see while a rollout runs.
 
 use super::Tallies;
 use cluster::rollout::{Answers, TIME_BUCKETS, time_bucket};
 use cluster::{Micros, Rev};
 
-/// A time that is in the last bucket.
+/// A time in microseconds that is in the last bucket.
 const MAX_TIME_US: Micros = 1 << 40;
 
-/// What was counted of one side of a rollout, over all routes.
+/// What was counted of one version, over all routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// All that ended with an answer or with a failure of the server's, and of those the failures.
+    /// All requests that ended with an answer or with a failure of the server, and the failures among them.
     pub ended: u32,
     pub failed: u32,
     pub median: Option<TimeRange>,
     pub percentile_95: Option<TimeRange>,
 }
 
-/// A bucket of times, in microseconds: the least that belongs to it, and the least above it. The last has no bound.
+/// A bucket of times, in microseconds: its lower bound, and its exclusive upper bound; the last bucket has none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeRange {
     pub from_us: Micros,
@@ -25,7 +25,7 @@
 }
 
 impl Tallies {
-    /// What proxies have told here of the old and of the new version; None before any has. For views alone.
+    /// What proxies have reported of the old and of the new version; none before the first report. Only for views.
     pub fn summary(&self, epoch: Rev) -> Option<(Summary, Summary)> {
         if !self.has_reports(epoch) {
             return None;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The bucket below whose end so many in a hundred of the times lie.
+/// The bucket with the given percentile of the times.
 fn percentile(times: &[u32], per_cent: u64) -> Option<TimeRange> {
     let all: u64 = times.iter().map(|n| u64::from(*n)).sum();
     let mut up_to = 0;
@@ -62,7 +62,7 @@
     Some(TimeRange { from_us: bucket_start_us(bucket), below_us })
 }
 
-/// The least time that belongs to a bucket, by bisection, so that [`time_bucket`] alone says where buckets begin.
+/// The lower bound of a bucket, found by bisection, so that [`time_bucket`] alone defines the buckets.
 fn bucket_start_us(bucket: usize) -> Micros {
     let (mut low, mut high) = (0, MAX_TIME_US);
     while low < high {
--- a/crates/registry/src/rollouts/tallies.rs
+++ b/crates/registry/src/rollouts/tallies.rs
@@ -1,13 +1,13 @@
-//! What proxies have counted of running rollouts, as it came in.
+//! What proxies have counted of running rollouts.
 
 use cluster::rollout::{Answers, Rollout, Rollouts, RouteTally, Tally};
 use cluster::{Micros, Rev};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// What comes in within so long is kept as one interval.
+/// Tallies received within this time are kept as one interval.
 const INTERVAL_US: Micros = 250_000;
-/// Intervals that are kept apart; what is older is kept as one.
+/// The most intervals per rollout; older ones are merged into the oldest.
 const MAX_INTERVALS: usize = 64;
 
 /// What was counted in one interval, by route.
@@ -26,18 +26,18 @@
     }
 }
 
-/// The last tally of each life of a proxy, for each rollout, and how the sum of all of them came about.
+/// The last tally of each life (process start) of a proxy for each rollout, and the sums of all tallies by time.
 #[derive(Default)]
 pub struct Tallies {
     latest: BTreeMap<(Rev, Ipv4Addr, u64), (Tally, Micros)>,
-    /// By epoch, the oldest interval first. What a proxy counted stays when it ends.
+    /// By epoch of the rollout, the oldest interval first. What a proxy has counted stays when the proxy ends.
     intervals: BTreeMap<Rev, Vec<Interval>>,
-    /// Those that the other registries have not been told of.
+    /// Tallies that the other registries have not received yet.
     unsent: Vec<Tally>,
 }
 
 impl Tallies {
-    /// `told`: by another registry, so all of them have it.
+    /// Takes a tally. `gossiped`: it came from another registry, so all of them have it.
     pub fn take(&mut self, now: Micros, tally: Tally, gossiped: bool) {
         let key = (tally.epoch, tally.ip, tally.life);
         let known = self.latest.get(&key).map(|(t, _)| t);
@@ -54,12 +54,12 @@
         self.latest.insert(key, (tally, now));
     }
 
-    /// What is to be told to the other registries.
+    /// Tallies to send to the other registries.
     pub fn take_unsent(&mut self) -> Vec<Tally> {
         std::mem::take(&mut self.unsent)
     }
 
-    /// Forgets those of rollouts that have ended.
+    /// Forgets the tallies of rollouts that have ended.
     pub fn retain_running(&mut self, rollouts: &Rollouts) {
         let runs = |epoch: Rev| rollouts.running().any(|r| r.epoch == epoch);
         self.latest.retain(|(epoch, ..), _| runs(*epoch));
@@ -77,24 +77,24 @@
         self.intervals(epoch).iter().filter(move |i| i.number * INTERVAL_US >= from)
     }
 
-    /// Whether any proxy has told of a rollout.
+    /// Whether any proxy has reported on a rollout.
     pub(super) fn has_reports(&self, epoch: Rev) -> bool {
         self.intervals.contains_key(&epoch)
     }
 
-    /// Whether this proxy has told of a rollout since then.
+    /// Whether this proxy has reported on a rollout since `from`.
     pub(super) fn is_heard(&self, epoch: Rev, ip: Ipv4Addr, from: Micros) -> bool {
         self.recent(epoch, ip, from).next().is_some()
     }
 
-    /// Whether this proxy has taken up the stage and has nothing out at the old servers any more, in any of its lives that
-    /// was heard of since `from`.
+    /// Whether this proxy has applied the current stage and has no requests in flight at old servers, in each of its
+    /// lives that reported since `from`.
     pub(super) fn has_left_old_servers(&self, rollout: &Rollout, ip: Ipv4Addr, from: Micros) -> bool {
         self.has_applied_stage(rollout, ip, from)
             && self.recent(rollout.epoch, ip, from).all(|t| t.old_out == 0)
     }
 
-    /// Likewise, whatever it has out.
+    /// The same, whatever it has in flight.
     pub(super) fn has_applied_stage(&self, rollout: &Rollout, ip: Ipv4Addr, from: Micros) -> bool {
         let mut recent = self.recent(rollout.epoch, ip, from).peekable();
         recent.peek().is_some() && recent.all(|t| t.rev >= rollout.stage_rev)
@@ -106,7 +106,7 @@
     }
 }
 
-/// The interval that it is now. Where it is a new one too many, the two oldest become one.
+/// The interval for now, a new one if needed. If that makes too many, the two oldest are merged.
 fn current_interval(intervals: &mut Vec<Interval>, now: Micros) -> &mut Interval {
     let number = now / INTERVAL_US;
     if intervals.last().is_none_or(|i| i.number < number) {
@@ -120,7 +120,7 @@
     &mut intervals[last]
 }
 
-/// What came on a route since the tally before of the same life.
+/// What was counted on a route since the previous tally of the same life.
 fn growth_since(known: Option<&Tally>, tally: &RouteTally) -> RouteTally {
     let before = known.and_then(|t| t.routes.iter().find(|r| r.route == tally.route));
     let Some(before) = before else { return tally.clone() };
--- a/crates/registry/src/views.rs
+++ b/crates/registry/src/views.rs
@@ -1,4 +1,5 @@
-//! What a registry knows, for operators: its own view, from its own copy and what it has heard. Nobody else is asked.
+//! Answers for operators about what this registry knows, from its own copy and from what it has heard. Nothing else
+//! is queried.
 
 use crate::calls::Answer;
 use crate::drills::Leases;
@@ -18,12 +19,12 @@
     pub state: &'a State,
     pub presence: &'a Presence,
     pub core: &'a [Ipv4Addr],
-    /// The zones of the core's machines, as far as they have said.
+    /// The zones of the core machines that have reported one.
     pub core_zones: &'a BTreeMap<Ipv4Addr, String>,
     pub fresh: bool,
     pub leads: bool,
     pub leases: &'a Leases,
-    /// The proxies that follow this registry, and how far each has come.
+    /// The proxies that follow this registry, and the revision each has reached.
     pub followers: Vec<(&'a Node, Rev)>,
 }
 
@@ -85,7 +86,7 @@
         self.answer(jzon::object! { drill_list: rows.collect::<Vec<_>>() })
     }
 
-    /// What every view of a drill begins with.
+    /// The fields that every view of a drill starts with.
     fn drill_summary(&self, held: &Held) -> JsonValue {
         let ends = self.leases.ends(held.epoch).filter(|_| held.ended.is_none());
         let mut row = held.drill.write();
@@ -121,7 +122,7 @@
         self.answer(body)
     }
 
-    /// What a dry run tells.
+    /// The answer to a dry run of a drill.
     pub fn drill_dry_run(&self, drill: &Drill, wanted: Option<f64>) -> Answer {
         let mut body = drill.write();
         body["drill_name"] = drill.name.as_str().into();
@@ -136,9 +137,9 @@
         self.answer(body)
     }
 
-    /// How far a proxy that is heard of has come, and how many milliseconds ago it said so.
+    /// The revision that a proxy has reached, and how many milliseconds ago it was last heard.
     pub fn proxy_progress(&self, ip: Ipv4Addr) -> (Option<Rev>, Option<u64>) {
-        // Those further down the tree say it in their reports.
+        // Proxies that do not follow this registry directly report their revision through others.
         let follows = self.followers.iter().find(|(n, _)| n.ip == ip).map(|(_, rev)| *rev);
         let heard = self.presence.proxy_heard(ip);
         (follows.or(heard.map(|(_, seen)| seen.rev)), heard.map(|(at, _)| self.ms_since(at)))
@@ -148,7 +149,7 @@
         self.now.saturating_sub(at) / 1000
     }
 
-    /// With who answers and how far it has come, as another registry may say something else.
+    /// Adds which registry answers and its revision, because another registry may answer differently.
     pub fn answer(&self, mut body: JsonValue) -> Answer {
         body["answered_by"] = self.own_ip.to_string().into();
         body["revision"] = self.state.rev.into();
