--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -43,7 +43,11 @@
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", run)
+    runtime::run(
+        "curlewfront-registry",
+        "Tracks curlewfront's servers and proxies and serves the control-plane API",
+        run,
+    )
 }
 
 fn run(mut start: Start) -> Result<()> {
--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A registry whose store is played: what it proposes lands when the test says so.
+//! A registry with a simulated store: what the registry proposes commits when the test says so.
 #![allow(dead_code)] // each test file uses a part of it
 
 use cluster::copy::Copy;
@@ -9,26 +9,27 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
+/// In microseconds, as all times here.
 pub const SECOND: u64 = 1_000_000;
-pub const BEAT: u64 = SECOND;
-pub const ME: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 4);
-pub const OTHER: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 5);
+pub const HEARTBEAT: u64 = SECOND;
+pub const OWN_IP: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 4);
+pub const PEER_IP: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 5);
 
 pub fn node(last: u8, zone: &str) -> Node {
     let (ip, region) = (Ipv4Addr::new(10, 9, 1, last), zone.split('-').next().expect("a region").to_string());
     Node { ip, name: format!("edge-{last}"), zone: zone.into(), region, front: (ip, 80).into() }
 }
 
-/// A proxy that is ready, in its only life here.
-pub fn seen(last: u8, count: u64) -> Seen {
+/// The report of a proxy that is ready and has not been restarted.
+pub fn proxy_report(last: u8, count: u64) -> Seen {
     Seen { ip: node(last, "north-a").ip, life: 9, count, ready: true, rev: 0, suspects: vec![] }
 }
 
-pub fn nodes(of: &[(u8, &str)]) -> Command {
+pub fn add_nodes(of: &[(u8, &str)]) -> Command {
     Command::Nodes(of.iter().map(|(last, zone)| NodeChange::Up(node(*last, zone))).collect())
 }
 
-pub fn server(id: &str, addr: &str) -> Command {
+pub fn add_server(id: &str, addr: &str) -> Command {
     let (service, zone) = ("heron".into(), "north-a".into());
     Command::Servers(vec![ServerChange::Up(Server {
         id: id.into(),
@@ -42,7 +43,7 @@
     })])
 }
 
-/// With a tenant, reed, that has a quota of 20 a second.
+/// A configuration with one tenant, reed, that has a quota of 20 requests per second.
 pub fn config(version: u32) -> String {
     format!(
         r#"{{"config_version":"{version:08x}","limits":{{}},
@@ -54,7 +55,7 @@
     )
 }
 
-pub fn beat(addr: &str, state: &str, sequence: u64, whole: bool) -> String {
+pub fn heartbeat_body(addr: &str, state: &str, sequence: u64, whole: bool) -> String {
     let about = r#""information":{"service_ref":"heron","zone_name":"north-a","slot_count":4},"#;
     format!(
         r#"{{"server_address":"{addr}",{}"status_report":{{"server_state":"{state}","call_sequence":{sequence}}}}}"#,
@@ -65,16 +66,17 @@
 pub struct Registry {
     pub now: u64,
     pub control_plane: ControlPlane,
-    /// The store's copy; what lands, lands here first.
+    /// The store's copy of the state; commands are applied here first.
     pub store: Copy,
     pub proposed: Vec<(u64, Command)>,
     pub reads: Vec<u64>,
-    /// Answers of calls that have not been looked at.
+    /// Answers to calls, by the id of the call.
     pub answers: BTreeMap<u64, (u16, String)>,
-    /// What the last input led to, other than the above.
+    /// Other outputs of the last input.
     pub out: Vec<Output>,
-    /// How the store stands, and the last time that it was asked; when it hangs, it does not answer.
-    store_stands: (bool, bool),
+    /// Whether the store is fresh and whether it leads, and the time of the last poll. A store that hangs does not
+    /// answer polls.
+    store_standing: (bool, bool),
     asked: u64,
     pub term: u64,
     pub store_hangs: bool,
@@ -85,10 +87,10 @@
     pub fn new(commands: Vec<Command>) -> Registry {
         let zones = [("north-a", "north"), ("north-b", "north"), ("south-a", "south"), ("south-b", "south")];
         let parameters = Parameters {
-            own_ip: ME,
+            own_ip: OWN_IP,
             own_zone: "north-a".into(),
             zones: zones.map(|(z, r)| (z.to_string(), r.to_string())).into(),
-            heartbeat_us: BEAT,
+            heartbeat_us: HEARTBEAT,
             directory_ttl_s: 5.0,
             max_sync_us: 2 * SECOND,
             propagation_us: 2 * SECOND,
@@ -103,19 +105,19 @@
             reads: Vec::new(),
             answers: BTreeMap::new(),
             out: Vec::new(),
-            store_stands: (true, false),
+            store_standing: (true, false),
             asked: 0,
             term: 1,
             store_hangs: false,
             calls: 0,
         };
-        registry.tell(Input::StoreUp);
-        registry.stands(true, false);
-        commands.into_iter().for_each(|c| _ = registry.lands(c));
+        registry.handle(Input::StoreUp);
+        registry.set_store_standing(true, false);
+        commands.into_iter().for_each(|c| _ = registry.commit(c));
         registry
     }
 
-    pub fn tell(&mut self, input: Input) {
+    pub fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.control_plane.handle(self.now, input, &mut out);
         if !self.store_hangs && out.iter().any(|o| matches!(o, Output::Store(ToStore::Stand { .. }))) {
@@ -141,40 +143,41 @@
     }
 
     fn standing(&self, asked: u64) -> FromStore {
-        let (fresh, leads) = self.store_stands;
-        let (core, fresh_ms, term) = (vec![ME, OTHER], fresh.then_some(0), self.term);
+        let (fresh, leads) = self.store_standing;
+        let (core, fresh_ms, term) = (vec![OWN_IP, PEER_IP], fresh.then_some(0), self.term);
         FromStore::Standing { core, fresh_ms, leads, term, asked }
     }
 
-    /// Time passes while the control_plane is called whenever it wants to be.
-    pub fn wait(&mut self, us: u64) {
+    /// Lets time pass, waking the control plane whenever it wants to be.
+    pub fn run_for(&mut self, us: u64) {
         let (end, mut out) = (self.now + us, Vec::new());
         while self.now < end {
             self.now = self.control_plane.wake_at().clamp(self.now, end);
-            self.tell(Input::Tick);
+            self.handle(Input::Tick);
             out.append(&mut self.out);
         }
         self.out = out;
     }
 
-    /// Time passes while the registry is stopped; then it finds its timers due.
-    pub fn freeze(&mut self, us: u64) {
+    /// Lets time pass while the registry is paused; its timers are due afterwards.
+    pub fn pause(&mut self, us: u64) {
         self.now += us;
     }
 
-    /// Time passes while the control_plane is called whenever it wants to be, and the other registry speaks of these servers.
-    pub fn pass(&mut self, us: u64, servers: &[&str], nodes: &[u8]) {
+    /// Lets time pass, waking the control plane whenever it wants to be, while the other registry gossips that it
+    /// hears these servers and proxies.
+    pub fn run_with_gossip(&mut self, us: u64, servers: &[&str], nodes: &[u8]) {
         let end = self.now + us;
         let mut count = self.now;
         while self.now < end {
             count += 1;
-            self.now = self.control_plane.wake_at().clamp(self.now, (self.now + BEAT / 3).min(end));
+            self.now = self.control_plane.wake_at().clamp(self.now, (self.now + HEARTBEAT / 3).min(end));
             let servers = servers.iter().map(|id| (id.to_string(), count)).collect();
-            let nodes = nodes.iter().map(|n| seen(*n, count)).collect();
+            let nodes = nodes.iter().map(|n| proxy_report(*n, count)).collect();
             let zone = "south-a".to_string();
             let (usage, heads) = (Vec::new(), Vec::new());
-            self.tell(Input::Peer(Gossip {
-                ip: OTHER,
+            self.handle(Input::Peer(Gossip {
+                ip: PEER_IP,
                 zone,
                 servers,
                 nodes,
@@ -187,31 +190,31 @@
         }
     }
 
-    pub fn stands(&mut self, fresh: bool, leads: bool) {
-        self.store_stands = (fresh, leads);
+    pub fn set_store_standing(&mut self, fresh: bool, leads: bool) {
+        self.store_standing = (fresh, leads);
         let standing = self.standing(self.asked);
-        self.tell(Input::Store(standing));
+        self.handle(Input::Store(standing));
     }
 
-    /// A command lands and its news comes.
-    pub fn lands(&mut self, command: Command) -> (u64, Done) {
+    /// Commits a command and delivers the news of it.
+    pub fn commit(&mut self, command: Command) -> (u64, Done) {
         let (from, to) = (self.store.rev(), self.store.rev() + 1);
         let done = self.store.apply(self.now, to, Some(command.clone()));
         let news = News::Run { from, to, commands: vec![(to, command)] };
-        self.tell(Input::Store(FromStore::News(news)));
+        self.handle(Input::Store(FromStore::News(news)));
         (to, done)
     }
 
-    pub fn result(&mut self, ticket: u64, result: Result<(u64, Done), Unsure>) {
-        self.tell(Input::Store(FromStore::Proposed { ticket, result }));
+    pub fn report_result(&mut self, ticket: u64, result: Result<(u64, Done), Unsure>) {
+        self.handle(Input::Store(FromStore::Proposed { ticket, result }));
     }
 
-    /// All that was proposed lands, and what follows from it.
-    pub fn land(&mut self) {
+    /// Commits everything that was proposed, and what follows from it.
+    pub fn commit_proposed(&mut self) {
         while !self.proposed.is_empty() {
             let (ticket, command) = self.proposed.remove(0);
-            let landed = self.lands(command);
-            self.result(ticket, Ok(landed));
+            let landed = self.commit(command);
+            self.report_result(ticket, Ok(landed));
         }
     }
 
@@ -219,12 +222,12 @@
         self.calls += 1;
         let if_match = if_match.map(str::to_string);
         let request = Request { method: method.into(), target: target.into(), if_match, body: body.into() };
-        self.tell(Input::Call(self.calls, request));
+        self.handle(Input::Call(self.calls, request));
         self.calls
     }
 
-    pub fn beat(&mut self, id: &str, addr: &str, state: &str, sequence: u64) -> u64 {
-        self.call("PUT", &format!("/api/instances/{id}"), None, &beat(addr, state, sequence, true))
+    pub fn heartbeat(&mut self, id: &str, addr: &str, state: &str, sequence: u64) -> u64 {
+        self.call("PUT", &format!("/api/instances/{id}"), None, &heartbeat_body(addr, state, sequence, true))
     }
 
     pub fn status(&mut self, call: u64) -> Option<u16> {
@@ -239,11 +242,11 @@
         let ip = node(last, "north-a").ip;
         let seen = vec![Seen { ip, life: 1, count, ready, rev, suspects: vec![] }];
         let usage = vec![Usage { ip, life: 1, count, tenants: Vec::new() }];
-        self.tell(Input::Proxy(link, Up::Report { rev, head: None, seen, usage }));
+        self.handle(Input::Proxy(link, Up::Report { rev, head: None, seen, usage }));
     }
 
-    /// The news that the last input brought a proxy: from where to where; 0: whole.
-    pub fn fed(&self, link: u64) -> Option<(u64, u64)> {
+    /// The revisions from and to which the last input sent news to a proxy; from 0 for a whole state.
+    pub fn news_sent_to(&self, link: u64) -> Option<(u64, u64)> {
         self.out.iter().find_map(|o| match o {
             Output::Proxy(l, Down::News(News::Run { from, to, .. })) if *l == link => Some((*from, *to)),
             Output::Proxy(l, Down::News(News::Whole(_))) if *l == link => {
--- a/crates/registry/tests/presence.rs
+++ b/crates/registry/tests/presence.rs
@@ -1,4 +1,4 @@
-//! Whom the directory names.
+//! Which proxies the directory names.
 
 mod common;
 
@@ -8,7 +8,7 @@
 const PROXIES: [(u8, &str); 5] =
     [(1, "north-a"), (2, "north-a"), (3, "north-b"), (4, "south-a"), (5, "south-b")];
 
-fn named(r: &mut Registry, query: &str) -> Vec<u8> {
+fn named_proxies(r: &mut Registry, query: &str) -> Vec<u8> {
     let call = r.call("GET", &format!("/api/resolution?entity_name=h{query}"), None, "");
     let (status, body) = r.answers[&call].clone();
     if status != 200 {
@@ -21,7 +21,7 @@
 
 #[test]
 fn the_directory_names_ready_proxies_of_the_zone_then_of_the_region_then_all() {
-    // Who reports to be ready; what is asked for; who is named.
+    // Columns: the proxies that report to be ready, the query, the proxies named.
     for (ready, query, expected) in [
         (&[1, 2, 3, 4, 5][..], "&zone_name=north-a", &[1, 2][..]),
         (&[2, 3, 4, 5], "&zone_name=north-a", &[2]),
@@ -31,15 +31,15 @@
         (&[1, 2, 3, 4, 5], "&zone_name=moon&region_name=south", &[4, 5]),
         (&[1, 3, 5], "&region_name=moon", &[1, 3, 5]),
         (&[1, 3, 5], "", &[1, 3, 5]),
-        (&[], "&zone_name=north-a", &[1, 2]), // it may be this registry that hears nothing
+        (&[], "&zone_name=north-a", &[1, 2]), // the fault may be at this registry
         (&[], "", &[1, 2, 3, 4, 5]),
     ] {
-        let mut r = Registry::new(vec![nodes(&PROXIES)]);
-        r.wait(3 * BEAT);
+        let mut r = Registry::new(vec![add_nodes(&PROXIES)]);
+        r.run_for(3 * HEARTBEAT);
         for (n, _) in PROXIES {
             r.report(n.into(), n, 1, ready.contains(&n), 1);
         }
-        assert_eq!(named(&mut r, query), expected, "{ready:?} {query}");
+        assert_eq!(named_proxies(&mut r, query), expected, "{ready:?} {query}");
     }
     let mut r = Registry::new(Vec::new());
     let (none, bad) = (
@@ -50,22 +50,22 @@
 }
 
 #[test]
-fn silence_and_the_word_of_another_registry_count() {
-    let mut r = Registry::new(vec![nodes(&PROXIES)]);
+fn silence_and_gossip_decide_which_proxies_are_named() {
+    let mut r = Registry::new(vec![add_nodes(&PROXIES)]);
     assert_eq!(
-        named(&mut r, "&zone_name=north-a"),
+        named_proxies(&mut r, "&zone_name=north-a"),
         [1, 2],
-        "it has just started: who is known is taken for alive"
+        "it has just started: known proxies count as alive"
     );
-    // 1 is heard of by the other registry; 2 reported here once, long ago.
+    // The other registry hears 1; 2 reported here once, long ago.
     r.report(2, 2, 1, true, 1);
-    r.pass(3 * BEAT, &[], &[1]);
-    assert_eq!(named(&mut r, "&zone_name=north-a"), [1]);
-    // An older report of the same life says nothing; a new life does.
+    r.run_with_gossip(3 * HEARTBEAT, &[], &[1]);
+    assert_eq!(named_proxies(&mut r, "&zone_name=north-a"), [1]);
+    // An older report of the same life changes nothing; a newer one does.
     r.report(2, 2, 1, true, 1);
-    assert_eq!(named(&mut r, "&zone_name=north-a"), [1]);
+    assert_eq!(named_proxies(&mut r, "&zone_name=north-a"), [1]);
     r.report(2, 2, 2, true, 1);
-    assert_eq!(named(&mut r, "&zone_name=north-a"), [1, 2]);
+    assert_eq!(named_proxies(&mut r, "&zone_name=north-a"), [1, 2]);
     r.report(2, 2, 3, false, 1);
-    assert_eq!(named(&mut r, "&zone_name=north-a"), [1]);
+    assert_eq!(named_proxies(&mut r, "&zone_name=north-a"), [1]);
 }
--- a/crates/registry/tests/rollout_errors/simulation.rs
+++ b/crates/registry/tests/rollout_errors/simulation.rs
@@ -1,126 +1,136 @@
-//! One rollout played on simulated time: clients, servers of two versions, proxies that send, count and tell, and the verdict.
-//! No sockets, no clock; the same seed plays the same.
+//! A rollout on simulated time: clients, servers of two versions, proxies that send requests and report tallies, and
+//! the verdict. No sockets, no clock; the same seed gives the same run.
 
 use cluster::rollout::{Answers, Order, Rollout, RouteTally, Stage, Tally};
 use fastrand::Rng;
 use registry::rollouts::{Evaluation, Tallies};
 use std::net::Ipv4Addr;
 
-/// All times in ticks of so many microseconds.
+/// Times are in ticks of this many microseconds, unless their names say otherwise.
 pub const TICK_US: u64 = 10_000;
-const SECOND: usize = 100;
+const TICKS_PER_SECOND: usize = 100;
+/// Numbers of proxies, of servers of each version, and of new servers on trial.
 const PROXIES: usize = 85;
 const SERVERS: usize = 157;
-const ON_TRIAL: usize = 16;
+const TRIAL_SERVERS: usize = 16;
+/// Concurrent requests per server.
 const SLOTS: u8 = 3;
-const COLD: usize = 3 * SECOND;
-const TALLY: usize = 26;
-const ROUND: usize = 33;
-const TIMEOUT: usize = 4 * SECOND;
+/// How long new servers are cold; they take twice as long then.
+const COLD_TICKS: usize = 3 * TICKS_PER_SECOND;
+/// Between two tallies of a proxy, and between two evaluations by the registry.
+const TALLY_INTERVAL_TICKS: usize = 26;
+const ROUND_TICKS: usize = 33;
+const TIMEOUT_TICKS: usize = 4 * TICKS_PER_SECOND;
 const MEAN_WORK_S: f64 = 0.22;
-const SPREAD: f64 = 0.5;
+/// The standard deviation of the logarithm of the work.
+const WORK_SIGMA: f64 = 0.5;
+/// The part of requests that go to the new version during the trial.
 const TRIAL_SHARE: f64 = 0.08;
-/// What a proxy may be behind its share.
+/// The most trial requests that a proxy may be behind its share.
 const MAX_CREDIT: f64 = 2.0;
-/// From the first request before the order on.
-const BEFORE: usize = SECOND;
+/// The tick of the order; the rollout starts with it.
+const ORDER_TICK: usize = TICKS_PER_SECOND;
 
-/// How bad answers are bad.
+/// What is wrong with the answers of a bad version.
 #[derive(Clone, Copy, Debug)]
-pub enum Bad {
+pub enum Defect {
     Errors,
-    /// So many times slower.
+    /// Slower by this factor.
     Slow(f64),
 }
 
-/// When they are.
+/// When they are wrong.
 #[derive(Clone, Copy, Debug)]
 pub enum When {
     AtOnce,
-    /// From so many seconds after the order on.
+    /// From this many seconds after the order on.
     Late(f64),
-    /// Where a server has so many requests at a time.
+    /// When a server has this many requests in flight, the new one included.
     AtLoad(u8),
-    /// Once the version gets more than a trial's share.
+    /// Once the version gets more than the trial's share of requests.
     FromPartial,
     OnRareRoute,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Version {
+pub struct BadVersion {
     pub share: f64,
-    pub bad: Bad,
+    pub bad: Defect,
     pub when: When,
 }
 
-/// Troubles that have nothing to do with the version.
+/// Faults that have nothing to do with the version.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
-    /// Part of the answers of some servers that are garbled or lost, and the part of the servers, from some second on.
+pub struct Disturbance {
+    /// The part of their answers that some servers garble or lose, and the part of the servers that do, from a number
+    /// of seconds after the order on.
     pub garbled: (f64, f64),
     pub garbled_from_s: f64,
-    /// Part of the servers that are so many times slower.
+    /// The part of the servers that are slower, and the factor.
     pub slow: (f64, f64),
-    /// Part of the servers that fail half of their answers.
-    pub grey: f64,
-    /// Part of the proxies that end, at some second, and begin a new life a second later.
+    /// The part of the servers that fail half of their requests.
+    pub half_failing: f64,
+    /// The part of the proxies that stop four seconds after the order and restart a second later.
     pub killed: f64,
-    /// Part of the proxies that serve but whose tallies do not come.
-    pub silent: f64,
-    /// Each answer that fails is asked for so many times more.
-    pub storm: usize,
-    /// A second at which the leader changes: nothing is decided for two seconds, and a registry that was just started decides.
+    /// The part of the proxies that serve but whose tallies do not arrive.
+    pub not_reporting: f64,
+    /// How often a failed request is retried, at least once.
+    pub retry_storm: usize,
+    /// The time of a change of leader, in seconds after the order; 0: none. No decision is made for two seconds after
+    /// it, and then by a registry that has just started.
     pub leader_lost_s: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct Scenario {
     pub rate: f64,
     pub rare_rate: f64,
     pub term_s: usize,
-    /// Part of the new servers that serve at the partial stage.
+    /// The part of the new servers that serve at the partial stage.
     pub partial: f64,
-    /// Whether places in the share go to rare routes first.
+    /// Whether the trial's share goes to requests of rare routes first.
     pub rare_first: bool,
-    pub version: Option<Version>,
-    pub trouble: Trouble,
+    pub version: Option<BadVersion>,
+    pub disturbance: Disturbance,
 }
 
-impl Scene {
-    pub fn usual() -> Scene {
-        Scene {
+impl Scenario {
+    pub fn usual() -> Scenario {
+        Scenario {
             rate: 906.0,
             rare_rate: 10.0,
             term_s: 14,
             partial: 0.25,
             rare_first: true,
             version: None,
-            trouble: Trouble::default(),
+            disturbance: Disturbance::default(),
         }
     }
 }
 
-/// How it went.
+/// The result of a simulated rollout.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub stage: Stage,
-    /// Seconds from the order until it was over.
+    /// Seconds from the order to the end of the rollout.
     pub over_s: Option<f64>,
-    /// Requests to the service and to its new version, between the order and the term.
+    /// Requests to the service and to its new version, from the order to the term.
     pub all: usize,
     pub new: usize,
-    /// Requests to the new version later than the settings allow after its 50th bad answer.
+    /// Requests to the new version that were sent later than the settings allow after its 50th bad answer.
     pub after_limit: usize,
     pub reason: String,
 }
 
+/// A bad version may get this part of all requests, plus a number of requests.
 const EXPOSURE_SHARE: f64 = 0.1;
 const EXPOSURE_MARGIN: f64 = 50.0;
-const REVERT_LIMIT: usize = 5 * SECOND;
-const BAD_ANSWERS: usize = 50;
+/// A version must be reverted within this time after this many bad answers.
+const REVERT_LIMIT_TICKS: usize = 5 * TICKS_PER_SECOND;
+const MIN_BAD_ANSWERS: usize = 50;
 
 impl Outcome {
-    /// The part of what a bad version may get that it got.
+    /// The requests of the new version as a part of what a bad version may get.
     pub fn exposure(&self) -> f64 {
         self.new as f64 / (EXPOSURE_SHARE * self.all as f64 + EXPOSURE_MARGIN)
     }
@@ -130,9 +140,9 @@
 struct Server {
     new: bool,
     factor: f64,
-    grey: bool,
+    half_failing: bool,
     garbled: bool,
-    out: u8,
+    in_flight: u8,
 }
 
 struct Proxy {
@@ -143,15 +153,15 @@
     credit: f64,
     old_out: u32,
     routes: Vec<RouteTally>,
-    phase: usize,
-    silent: bool,
-    /// It takes up what is agreed so many ticks later.
-    lag: usize,
-    down_until: usize,
+    tally_phase: usize,
+    not_reporting: bool,
+    /// The delay with which it applies committed changes.
+    lag_ticks: usize,
+    down_until_tick: usize,
 }
 
 #[derive(Clone, Copy)]
-struct Ended {
+struct Completion {
     proxy: usize,
     life: u64,
     route: usize,
@@ -162,75 +172,81 @@
     tries: usize,
 }
 
-struct Play {
-    scene: Scene,
+struct Simulation {
+    scenario: Scenario,
     rng: Rng,
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
-    ends: Vec<Vec<Ended>>,
-    /// Tallies under way to the registry.
-    told: Vec<Vec<Tally>>,
+    completions: Vec<Vec<Completion>>,
+    /// Tallies in transit to the registry, by the tick of their arrival.
+    tallies_in_transit: Vec<Vec<Tally>>,
     rollout: Rollout,
-    changes: Vec<(usize, Stage, u64)>,
-    new_sent: Vec<usize>,
+    stage_changes: Vec<(usize, Stage, u64)>,
+    new_sent_ticks: Vec<usize>,
     all: usize,
     bad_answers: usize,
-    limit_at: Option<usize>,
+    revert_limit_tick: Option<usize>,
 }
 
-/// Plays one rollout to its end, at the latest to two seconds past its term.
-pub fn play(scene: Scene, seed: u64) -> Outcome {
-    let last = BEFORE + scene.term_s * SECOND + 2 * SECOND;
-    let mut play = Play::new(scene, seed, last);
+/// Simulates one rollout to its end, at most until two seconds after its term.
+pub fn simulate(scenario: Scenario, seed: u64) -> Outcome {
+    let last = ORDER_TICK + scenario.term_s * TICKS_PER_SECOND + 2 * TICKS_PER_SECOND;
+    let mut simulation = Simulation::new(scenario, seed, last);
     let mut tallies = Tallies::default();
-    let mut decided: Option<(usize, Stage, String)> = None;
-    let mut over_at = None;
-    let mut quiet_until = 0;
-    let (lost_at, ends_at) = (BEFORE as f64 + scene.trouble.leader_lost_s * SECOND as f64, last);
-    for now in BEFORE..ends_at {
-        if scene.trouble.leader_lost_s > 0.0 && now == lost_at as usize {
-            (tallies, decided, quiet_until) = (Tallies::default(), None, now + 2 * SECOND);
+    let mut pending_step: Option<(usize, Stage, String)> = None;
+    let mut over_at_tick = None;
+    let mut no_leader_until = 0;
+    let leader_lost_tick = ORDER_TICK as f64 + scenario.disturbance.leader_lost_s * TICKS_PER_SECOND as f64;
+    for now in ORDER_TICK..last {
+        if scenario.disturbance.leader_lost_s > 0.0 && now == leader_lost_tick as usize {
+            (tallies, pending_step, no_leader_until) = (Tallies::default(), None, now + 2 * TICKS_PER_SECOND);
         }
-        play.ended(now);
-        play.arrive(now);
-        play.tell(now);
-        for tally in std::mem::take(&mut play.told[now]) {
+        simulation.complete_requests(now);
+        simulation.generate_requests(now);
+        simulation.send_tallies(now);
+        for tally in std::mem::take(&mut simulation.tallies_in_transit[now]) {
             tallies.take(now as u64 * TICK_US, tally, false);
         }
-        if let Some((_, to, reason)) = decided.take_if(|(at, ..)| *at <= now) {
-            play.agree(now, to, reason);
-            if play.rollout.stage.is_over() {
-                over_at = Some(now);
+        if let Some((_, to, reason)) = pending_step.take_if(|(at, ..)| *at <= now) {
+            simulation.commit_stage(now, to, reason);
+            if simulation.rollout.stage.is_over() {
+                over_at_tick = Some(now);
             }
         }
-        if now % ROUND == 0 && now >= quiet_until && decided.is_none() && over_at.is_none() {
-            let serving = play.serving(now);
-            let ground = Evaluation {
+        if now % ROUND_TICKS == 0
+            && now >= no_leader_until
+            && pending_step.is_none()
+            && over_at_tick.is_none()
+        {
+            let serving = simulation.serving(now);
+            let evaluation = Evaluation {
                 now: now as u64 * TICK_US,
                 tallies: &tallies,
                 proxies: &serving,
-                tally_us: TALLY as u64 * TICK_US,
+                tally_us: TALLY_INTERVAL_TICKS as u64 * TICK_US,
                 propagation_us: 2_500_000,
             };
-            // Written to a majority's disks, in another region.
-            decided = ground.step(&play.rollout).map(|s| (now + play.rng.usize(8..20), s.to, s.reason));
+            // The delay of a commit on the disks of a majority, in another region.
+            pending_step = evaluation
+                .step(&simulation.rollout)
+                .map(|s| (now + simulation.rng.usize(8..20), s.to, s.reason));
         }
     }
-    play.outcome(over_at)
+    simulation.outcome(over_at_tick)
 }
 
-impl Play {
-    fn new(scene: Scene, seed: u64, last: usize) -> Play {
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64, last: usize) -> Simulation {
         let mut rng = Rng::with_seed(seed);
-        let trouble = scene.trouble;
+        let disturbance = scenario.disturbance;
         let mut server = |n: usize| {
-            let slow = rng.f64() < trouble.slow.0;
+            let slow = rng.f64() < disturbance.slow.0;
             Server {
                 new: n >= SERVERS,
-                factor: [0.7, 0.7, 1.6][rng.usize(0..3)] * if slow { trouble.slow.1 } else { 1.0 },
-                grey: rng.f64() < trouble.grey,
-                garbled: rng.f64() < trouble.garbled.1,
-                out: 0,
+                factor: [0.7, 0.7, 1.6][rng.usize(0..3)] * if slow { disturbance.slow.1 } else { 1.0 },
+                half_failing: rng.f64() < disturbance.half_failing,
+                garbled: rng.f64() < disturbance.garbled.1,
+                in_flight: 0,
             }
         };
         let servers = (0..2 * SERVERS).map(&mut server).collect();
@@ -242,18 +258,18 @@
             credit: 0.0,
             old_out: 0,
             routes: Vec::new(),
-            phase: rng.usize(0..TALLY),
-            silent: rng.f64() < trouble.silent,
-            lag: rng.usize(8..50),
-            down_until: 0,
+            tally_phase: rng.usize(0..TALLY_INTERVAL_TICKS),
+            not_reporting: rng.f64() < disturbance.not_reporting,
+            lag_ticks: rng.usize(8..50),
+            down_until_tick: 0,
         };
         let proxies = (0..PROXIES).map(proxy).collect();
         let order = Order {
             service: "heron".to_string(),
             target_version: "v2".to_string(),
-            term_ms: scene.term_s as u32 * 1000,
+            term_ms: scenario.term_s as u32 * 1000,
         };
-        let at = BEFORE as i64 * TICK_US as i64;
+        let at = ORDER_TICK as i64 * TICK_US as i64;
         let rollout = Rollout {
             order,
             epoch: 1,
@@ -265,44 +281,45 @@
             ordered_at: at,
             stage_at: at,
         };
-        Play {
-            scene,
+        Simulation {
+            scenario,
             rng,
             servers,
             proxies,
-            ends: (0..last + 1).map(|_| Vec::new()).collect(),
-            told: (0..last + 1).map(|_| Vec::new()).collect(),
+            completions: (0..last + 1).map(|_| Vec::new()).collect(),
+            tallies_in_transit: (0..last + 1).map(|_| Vec::new()).collect(),
             rollout,
-            changes: Vec::new(),
-            new_sent: Vec::new(),
+            stage_changes: Vec::new(),
+            new_sent_ticks: Vec::new(),
             all: 0,
             bad_answers: 0,
-            limit_at: None,
+            revert_limit_tick: None,
         }
     }
 
     fn term_at(&self) -> usize {
-        BEFORE + self.scene.term_s * SECOND
+        ORDER_TICK + self.scenario.term_s * TICKS_PER_SECOND
     }
 
-    fn agree(&mut self, now: usize, to: Stage, reason: String) {
+    fn commit_stage(&mut self, now: usize, to: Stage, reason: String) {
         let rev = self.rollout.stage_rev + 1;
         (self.rollout.stage, self.rollout.stage_rev) = (to, rev);
         self.rollout.stage_at = now as i64 * TICK_US as i64;
         self.rollout.reason = reason;
-        self.changes.push((now, to, rev));
+        self.stage_changes.push((now, to, rev));
     }
 
     fn serving(&self, now: usize) -> Vec<Ipv4Addr> {
-        let up = self.proxies.iter().enumerate().filter(|(_, p)| p.down_until <= now);
+        let up = self.proxies.iter().enumerate().filter(|(_, p)| p.down_until_tick <= now);
         up.map(|(n, _)| address(n)).collect()
     }
 
-    fn arrive(&mut self, now: usize) {
-        for (rate, route) in [(self.scene.rate - self.scene.rare_rate, 0), (self.scene.rare_rate, 1)] {
-            for _ in 0..self.poisson(rate / SECOND as f64) {
+    fn generate_requests(&mut self, now: usize) {
+        for (rate, route) in [(self.scenario.rate - self.scenario.rare_rate, 0), (self.scenario.rare_rate, 1)]
+        {
+            for _ in 0..self.poisson(rate / TICKS_PER_SECOND as f64) {
                 let proxy = self.rng.usize(0..PROXIES);
-                if self.proxies[proxy].down_until <= now {
+                if self.proxies[proxy].down_until_tick <= now {
                     self.request(now, proxy, route, 0);
                 }
             }
@@ -310,8 +327,8 @@
     }
 
     fn poisson(&mut self, mean: f64) -> usize {
-        let (least, mut product, mut count) = ((-mean).exp(), self.rng.f64(), 0);
-        while product > least {
+        let (limit, mut product, mut count) = ((-mean).exp(), self.rng.f64(), 0);
+        while product > limit {
             product *= self.rng.f64();
             count += 1;
         }
@@ -319,34 +336,34 @@
     }
 
     fn request(&mut self, now: usize, proxy: usize, route: usize, tries: usize) {
-        self.learn(now, proxy);
-        let Some(server) = self.choose(proxy, route, tries) else { return };
+        self.apply_changes(now, proxy);
+        let Some(server) = self.choose_server(proxy, route, tries) else { return };
         let new = self.servers[server].new;
         if now < self.term_at() {
             self.all += 1;
         }
         if new {
-            self.new_sent.push(now);
+            self.new_sent_ticks.push(now);
         }
         self.send(now, proxy, route, server, tries);
     }
 
-    /// A proxy takes up what was agreed a while ago.
-    fn learn(&mut self, now: usize, proxy: usize) {
+    /// Lets a proxy apply the changes that have reached it.
+    fn apply_changes(&mut self, now: usize, proxy: usize) {
         let p = &mut self.proxies[proxy];
-        for (_, stage, rev) in self.changes.iter().filter(|(at, ..)| at + p.lag <= now) {
+        for (_, stage, rev) in self.stage_changes.iter().filter(|(at, ..)| at + p.lag_ticks <= now) {
             (p.stage, p.stage_rev) = (*stage, *rev);
         }
     }
 
-    /// A server that has room, if it is found at the third look.
-    fn choose(&mut self, proxy: usize, route: usize, tries: usize) -> Option<usize> {
+    /// A server with a free slot, if one of three random probes finds it.
+    fn choose_server(&mut self, proxy: usize, route: usize, tries: usize) -> Option<usize> {
         let (old, new) = (0..SERVERS, SERVERS..2 * SERVERS);
-        let partial = (SERVERS as f64 * self.scene.partial).ceil() as usize;
+        let partial = (SERVERS as f64 * self.scenario.partial).ceil() as usize;
         let set = match self.proxies[proxy].stage {
             Stage::Trial => {
-                if tries == 0 && self.reserve(proxy, route) {
-                    if let Some(server) = self.look(SERVERS..SERVERS + ON_TRIAL) {
+                if tries == 0 && self.take_trial_slot(proxy, route) {
+                    if let Some(server) = self.probe_servers(SERVERS..SERVERS + TRIAL_SERVERS) {
                         return Some(server);
                     }
                     self.proxies[proxy].credit += 1.0;
@@ -357,83 +374,85 @@
             Stage::Whole | Stage::Completed => new,
             Stage::Reverted => old,
         };
-        self.look(set)
+        self.probe_servers(set)
     }
 
-    fn look(&mut self, set: std::ops::Range<usize>) -> Option<usize> {
-        (0..3).map(|_| self.rng.usize(set.clone())).find(|s| self.servers[*s].out < SLOTS)
+    fn probe_servers(&mut self, set: std::ops::Range<usize>) -> Option<usize> {
+        (0..3).map(|_| self.rng.usize(set.clone())).find(|s| self.servers[*s].in_flight < SLOTS)
     }
 
-    fn reserve(&mut self, proxy: usize, route: usize) -> bool {
-        // At most every second request of a rare route, so that it has answers of the old version as well.
-        let rare_first = self.scene.rare_first && (route == 0 || self.rng.bool());
+    fn take_trial_slot(&mut self, proxy: usize, route: usize) -> bool {
+        // At most every second request of a rare route goes to the new version, so that the old one has answers on it
+        // as well.
+        let rare_first = self.scenario.rare_first && (route == 0 || self.rng.bool());
         let p = &mut self.proxies[proxy];
-        let most = if rare_first { MAX_CREDIT + 1.0 } else { MAX_CREDIT };
-        p.credit = (p.credit + TRIAL_SHARE).min(most);
+        let max_credit = if rare_first { MAX_CREDIT + 1.0 } else { MAX_CREDIT };
+        p.credit = (p.credit + TRIAL_SHARE).min(max_credit);
         let needed = if rare_first && route == 0 { 2.0 } else { 1.0 };
-        let has = p.credit >= needed;
-        p.credit -= if has { 1.0 } else { 0.0 };
-        has
+        let has_credit = p.credit >= needed;
+        p.credit -= if has_credit { 1.0 } else { 0.0 };
+        has_credit
     }
 
     fn send(&mut self, now: usize, proxy: usize, route: usize, server: usize, tries: usize) {
         let s = self.servers[server];
-        let cold = s.new && now < BEFORE + COLD;
+        let cold = s.new && now < ORDER_TICK + COLD_TICKS;
         let bad = s.new && self.is_bad(now, route, server);
         let mut work_s = self.work_s() * s.factor * if cold { 2.0 } else { 1.0 };
-        let mut failed = s.grey && self.rng.f64() < 0.5;
-        let trouble = self.scene.trouble;
-        let garbles = now as f64 >= BEFORE as f64 + trouble.garbled_from_s * SECOND as f64;
-        let garbled = s.garbled && garbles && self.rng.f64() < trouble.garbled.0;
-        match self.scene.version.map(|v| v.bad).filter(|_| bad) {
-            Some(Bad::Errors) => failed = true,
-            Some(Bad::Slow(times)) => work_s *= times,
+        let mut failed = s.half_failing && self.rng.f64() < 0.5;
+        let disturbance = self.scenario.disturbance;
+        let garbling_started =
+            now as f64 >= ORDER_TICK as f64 + disturbance.garbled_from_s * TICKS_PER_SECOND as f64;
+        let garbled = s.garbled && garbling_started && self.rng.f64() < disturbance.garbled.0;
+        match self.scenario.version.map(|v| v.bad).filter(|_| bad) {
+            Some(Defect::Errors) => failed = true,
+            Some(Defect::Slow(times)) => work_s *= times,
             None => {}
         }
-        // One half of them is lost: nothing comes until the timeout.
+        // Half of them are lost: there is no answer until the timeout.
         let lost = garbled && self.rng.bool();
-        let ticks = ((work_s * SECOND as f64) as usize).max(1);
-        let timed_out = lost || ticks >= TIMEOUT;
-        let ticks = if timed_out { TIMEOUT } else { ticks };
+        let ticks = ((work_s * TICKS_PER_SECOND as f64) as usize).max(1);
+        let timed_out = lost || ticks >= TIMEOUT_TICKS;
+        let ticks = if timed_out { TIMEOUT_TICKS } else { ticks };
         failed |= garbled || timed_out;
         let taken_us = (!cold).then_some(ticks as u64 * TICK_US);
-        self.servers[server].out += 1;
+        self.servers[server].in_flight += 1;
         let p = &mut self.proxies[proxy];
         p.old_out += u32::from(!s.new);
         let life = p.life;
-        let last = self.ends.len() - 1;
-        let end = Ended { proxy, life, route, server, failed, bad, taken_us, tries };
-        self.ends[(now + ticks).min(last)].push(end);
+        let last = self.completions.len() - 1;
+        let end = Completion { proxy, life, route, server, failed, bad, taken_us, tries };
+        self.completions[(now + ticks).min(last)].push(end);
     }
 
     fn work_s(&mut self) -> f64 {
-        // Box and Muller's normal deviate.
+        // A normal deviate by the Box-Muller transform.
         let (a, b) = (1.0 - self.rng.f64(), self.rng.f64());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let tail = if self.rng.f64() < 0.01 { 5.0 } else { 1.0 };
-        MEAN_WORK_S * (SPREAD * normal - SPREAD * SPREAD / 2.0).exp() * tail
+        MEAN_WORK_S * (WORK_SIGMA * normal - WORK_SIGMA * WORK_SIGMA / 2.0).exp() * tail
     }
 
     fn is_bad(&mut self, now: usize, route: usize, server: usize) -> bool {
-        let Some(version) = self.scene.version else { return false };
-        let holds = match version.when {
+        let Some(version) = self.scenario.version else { return false };
+        let applies = match version.when {
             When::AtOnce => true,
-            When::Late(s) => now as f64 >= BEFORE as f64 + s * SECOND as f64,
-            When::AtLoad(out) => self.servers[server].out + 1 >= out,
+            When::Late(s) => now as f64 >= ORDER_TICK as f64 + s * TICKS_PER_SECOND as f64,
+            When::AtLoad(in_flight) => self.servers[server].in_flight + 1 >= in_flight,
             When::FromPartial => self.rollout.stage > Stage::Trial,
             When::OnRareRoute => route == 1,
         };
-        holds && self.rng.f64() < version.share
+        applies && self.rng.f64() < version.share
     }
 
-    fn ended(&mut self, now: usize) {
-        for end in std::mem::take(&mut self.ends[now]) {
+    fn complete_requests(&mut self, now: usize) {
+        for end in std::mem::take(&mut self.completions[now]) {
             let new = self.servers[end.server].new;
-            self.servers[end.server].out -= 1;
+            self.servers[end.server].in_flight -= 1;
             if end.bad {
                 self.bad_answers += 1;
-                if self.bad_answers == BAD_ANSWERS {
-                    self.limit_at = Some(now + REVERT_LIMIT);
+                if self.bad_answers == MIN_BAD_ANSWERS {
+                    self.revert_limit_tick = Some(now + REVERT_LIMIT_TICKS);
                 }
             }
             let p = &mut self.proxies[end.proxy];
@@ -442,25 +461,25 @@
             }
             p.old_out -= u32::from(!new);
             p.count(end, new);
-            if end.failed && end.tries < self.scene.trouble.storm.max(1) {
+            if end.failed && end.tries < self.scenario.disturbance.retry_storm.max(1) {
                 self.request(now, end.proxy, end.route, end.tries + 1);
             }
         }
     }
 
-    fn tell(&mut self, now: usize) {
-        let killed = self.scene.trouble.killed;
-        if killed > 0.0 && now == BEFORE + 4 * SECOND {
+    fn send_tallies(&mut self, now: usize) {
+        let killed = self.scenario.disturbance.killed;
+        if killed > 0.0 && now == ORDER_TICK + 4 * TICKS_PER_SECOND {
             for p in &mut self.proxies {
                 if self.rng.f64() < killed {
-                    p.ends(now + SECOND);
+                    p.restart(now + TICKS_PER_SECOND);
                 }
             }
         }
         for n in 0..PROXIES {
-            self.learn(now, n);
+            self.apply_changes(now, n);
             let p = &mut self.proxies[n];
-            if now % TALLY != p.phase || p.down_until > now || p.silent {
+            if now % TALLY_INTERVAL_TICKS != p.tally_phase || p.down_until_tick > now || p.not_reporting {
                 continue;
             }
             p.count += 1;
@@ -474,28 +493,28 @@
                 routes: p.routes.clone(),
             };
             let at = now + self.rng.usize(8..30);
-            if let Some(under_way) = self.told.get_mut(at) {
-                under_way.push(tally);
+            if let Some(due) = self.tallies_in_transit.get_mut(at) {
+                due.push(tally);
             }
         }
     }
 
-    fn outcome(self, over_at: Option<usize>) -> Outcome {
+    fn outcome(self, over_at_tick: Option<usize>) -> Outcome {
         let term_at = self.term_at();
-        let later = |at: &&usize| self.limit_at.is_some_and(|limit| **at > limit);
+        let after_limit = |at: &&usize| self.revert_limit_tick.is_some_and(|limit| **at > limit);
         Outcome {
             stage: self.rollout.stage,
-            over_s: over_at.map(|at| (at - BEFORE) as f64 / SECOND as f64),
+            over_s: over_at_tick.map(|at| (at - ORDER_TICK) as f64 / TICKS_PER_SECOND as f64),
             all: self.all,
-            new: self.new_sent.iter().filter(|at| **at < term_at).count(),
-            after_limit: self.new_sent.iter().filter(later).count(),
+            new: self.new_sent_ticks.iter().filter(|at| **at < term_at).count(),
+            after_limit: self.new_sent_ticks.iter().filter(after_limit).count(),
             reason: self.rollout.reason,
         }
     }
 }
 
 impl Proxy {
-    fn count(&mut self, end: Ended, new: bool) {
+    fn count(&mut self, end: Completion, new: bool) {
         while self.routes.len() <= end.route {
             let route = self.routes.len() as u32;
             self.routes.push(RouteTally { route, old: Answers::default(), new: Answers::default() });
@@ -509,12 +528,12 @@
         }
     }
 
-    /// It loses what it counted.
-    fn ends(&mut self, back_at: usize) {
+    /// Starts a new life; what it counted and did not report is lost.
+    fn restart(&mut self, back_at: usize) {
         self.life += PROXIES as u64;
         (self.count, self.credit, self.old_out) = (0, 0.0, 0);
         self.routes.clear();
-        self.down_until = back_at;
+        self.down_until_tick = back_at;
     }
 }
 
--- a/crates/registry/tests/rollouts.rs
+++ b/crates/registry/tests/rollouts.rs
@@ -1,4 +1,5 @@
-//! Rollouts at a registry: calls and their answers, and what the one beside the leader decides from what proxies counted.
+//! Rollouts at a registry: calls and their answers, and the decisions on the leader's machine from what proxies
+//! counted.
 
 mod common;
 
@@ -8,30 +9,30 @@
 use common::*;
 use registry::control_plane::Input;
 
-const ORDER: &str = r#"{"service_ref":"heron","target_version":"v2","rollout_term_s":10}"#;
+const ROLLOUT_ORDER: &str = r#"{"service_ref":"heron","target_version":"v2","rollout_term_s":10}"#;
 const LINK: u64 = 5;
-const ROUTE: u32 = 7;
+const ROUTE_KEY: u32 = 7;
 
 fn registry() -> Registry {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
-    let mut r = Registry::new(vec![Command::Configure(change), nodes(&[(1, "north-a")])]);
-    r.tell(Input::Proxy(LINK, Up::Hello { node: node(1, "north-a"), rev: 0 }));
+    let mut r = Registry::new(vec![Command::Configure(change), add_nodes(&[(1, "north-a")])]);
+    r.handle(Input::Proxy(LINK, Up::Hello { node: node(1, "north-a"), rev: 0 }));
     r
 }
 
-fn ordered() -> Registry {
+fn registry_with_rollout() -> Registry {
     let mut r = registry();
-    let call = r.call("POST", "/api/rollouts", None, ORDER);
-    r.land();
+    let call = r.call("POST", "/api/rollouts", None, ROLLOUT_ORDER);
+    r.commit_proposed();
     assert_eq!(r.status(call), Some(200));
     r
 }
 
-/// A rollout's state as an operator reads it.
-fn shown(r: &mut Registry) -> (u16, String) {
+/// Reads the rollout as an operator does.
+fn read_rollout(r: &mut Registry) -> (u16, String) {
     let call = r.call("GET", "/api/rollouts/heron", None, "");
-    let (ticket, rev) = (r.reads.pop().expect("read by the log"), r.store.rev());
-    r.tell(Input::Store(FromStore::Reads { ticket, result: Ok(rev) }));
+    let (ticket, rev) = (r.reads.pop().expect("a read through the log"), r.store.rev());
+    r.handle(Input::Store(FromStore::Reads { ticket, result: Ok(rev) }));
     r.answers[&call].clone()
 }
 
@@ -39,15 +40,15 @@
     r.control_plane.copy.state.rollouts.0["heron"].stage
 }
 
-/// Answers, of which so many failed and the rest took so long.
+/// `ended` answers, of which `failed` failed and the rest took `taken_us`.
 fn answers(ended: u32, failed: u32, taken_us: u64) -> Answers {
     let mut answers = Answers { ended, failed, times: Vec::new() };
     (failed..ended).for_each(|_| answers.took(taken_us));
     answers
 }
 
-/// The one proxy tells what it counted, and time passes with it alive.
-fn tells(r: &mut Registry, count: u64, old: Answers, new: Answers, old_out: u32) {
+/// Sends a tally of the only proxy, together with a report that shows it alive.
+fn send_tally(r: &mut Registry, count: u64, old: Answers, new: Answers, old_out: u32) {
     let rollout = &r.control_plane.copy.state.rollouts.0["heron"];
     let tally = Tally {
         ip: node(1, "north-a").ip,
@@ -56,37 +57,38 @@
         epoch: rollout.epoch,
         rev: r.control_plane.copy.rev(),
         old_out,
-        routes: vec![RouteTally { route: ROUTE, old, new }],
+        routes: vec![RouteTally { route: ROUTE_KEY, old, new }],
     };
     let rev = r.control_plane.copy.rev();
     r.report(LINK, 1, count, true, rev);
-    r.tell(Input::Proxy(LINK, Up::Rollout(vec![tally])));
+    r.handle(Input::Proxy(LINK, Up::Rollout(vec![tally])));
 }
 
-/// The same counts each third of a second, for so long.
-fn goes_on(r: &mut Registry, us: u64, old: &Answers, new: &Answers, old_out: u32) {
-    r.stands(true, true);
+/// Sends the same counts every third of a second for this long.
+fn send_tallies_for(r: &mut Registry, us: u64, old: &Answers, new: &Answers, old_out: u32) {
+    r.set_store_standing(true, true);
     let end = r.now + us;
     while r.now < end {
-        r.wait((SECOND / 3).min(end - r.now));
+        r.run_for((SECOND / 3).min(end - r.now));
         let count = r.now;
-        tells(r, count, old.clone(), new.clone(), old_out);
-        r.land();
+        send_tally(r, count, old.clone(), new.clone(), old_out);
+        r.commit_proposed();
     }
 }
 
-/// Guards against an order of a rollout that no registry takes: its operator asked until the time for it was over.
+/// Guards against an order of a rollout that no registry accepts, so that the operator repeats it until the time for
+/// it is over.
 #[test]
 fn an_order_of_a_rollout_is_acknowledged_once_it_is_agreed_and_again_when_it_is_repeated() {
     let mut r = registry();
-    let call = r.call("POST", "/api/rollouts", None, ORDER);
+    let call = r.call("POST", "/api/rollouts", None, ROLLOUT_ORDER);
     assert_eq!(r.status(call), None, "not before it is in the log");
-    r.land();
+    r.commit_proposed();
     assert_eq!(r.status(call), Some(200));
-    let again = r.call("POST", "/api/rollouts", None, ORDER);
-    r.land();
+    let again = r.call("POST", "/api/rollouts", None, ROLLOUT_ORDER);
+    r.commit_proposed();
     assert_eq!(r.status(again), Some(200));
-    let (status, body) = shown(&mut r);
+    let (status, body) = read_rollout(&mut r);
     assert_eq!(status, 200);
     for part in [r#""server_state":"in_progress""#, r#""target_version":"v2""#, r#""service_ref":"heron""#] {
         assert!(body.contains(part), "{body}");
@@ -95,7 +97,7 @@
 
 #[test]
 fn what_cannot_be_rolled_out_is_refused_with_the_reason() {
-    let mut r = ordered();
+    let mut r = registry_with_rollout();
     for (body, status, words) in [
         ("{", 400, "trouble"),
         (r#"{"service_ref":"heron","target_version":"v2"}"#, 400, "rollout_term_s"),
@@ -103,35 +105,35 @@
         (r#"{"service_ref":"heron","target_version":"v3","rollout_term_s":10}"#, 409, "v2 is under way"),
     ] {
         let call = r.call("POST", "/api/rollouts", None, body);
-        r.land();
+        r.commit_proposed();
         let (found, text) = &r.answers[&call];
         assert!(*found == status && text.contains(words), "{body}: {found} {text}");
     }
     let call = r.call("DELETE", "/api/rollouts/stilt", None, "");
     assert_eq!(r.status(call), Some(404));
-    r.stands(false, false);
-    let call = r.call("POST", "/api/rollouts", None, ORDER);
+    r.set_store_standing(false, false);
+    let call = r.call("POST", "/api/rollouts", None, ROLLOUT_ORDER);
     assert_eq!(r.status(call), Some(503), "it may lag behind what is agreed");
 }
 
 #[test]
 fn a_good_version_goes_through_its_stages_and_completes_when_the_old_servers_are_idle() {
-    let mut r = ordered();
+    let mut r = registry_with_rollout();
     let (old, new) = (answers(2000, 4, 200_000), answers(160, 1, 210_000));
-    goes_on(&mut r, 4 * SECOND, &old, &new, 9);
-    assert_eq!(stage(&r), Stage::Trial, "it may turn bad yet");
-    goes_on(&mut r, 1_200_000, &old, &new, 9);
+    send_tallies_for(&mut r, 4 * SECOND, &old, &new, 9);
+    assert_eq!(stage(&r), Stage::Trial, "it may still turn bad");
+    send_tallies_for(&mut r, 1_200_000, &old, &new, 9);
     assert_eq!(stage(&r), Stage::Partial);
-    goes_on(&mut r, 800_000, &old, &new, 9);
-    assert_eq!(stage(&r), Stage::Partial, "nothing was seen of it at this stage");
+    send_tallies_for(&mut r, 800_000, &old, &new, 9);
+    assert_eq!(stage(&r), Stage::Partial, "no answers at this stage yet");
     let (old, new) = (answers(2300, 5, 200_000), answers(220, 1, 210_000));
-    goes_on(&mut r, SECOND, &old, &new, 9);
+    send_tallies_for(&mut r, SECOND, &old, &new, 9);
     assert_eq!(stage(&r), Stage::Whole);
-    goes_on(&mut r, SECOND, &old, &new, 3);
-    assert_eq!(stage(&r), Stage::Whole, "three requests are still out at old servers");
-    goes_on(&mut r, SECOND, &old, &new, 0);
+    send_tallies_for(&mut r, SECOND, &old, &new, 3);
+    assert_eq!(stage(&r), Stage::Whole, "three requests are in flight at old servers");
+    send_tallies_for(&mut r, SECOND, &old, &new, 0);
     assert_eq!(stage(&r), Stage::Completed);
-    assert!(shown(&mut r).1.contains(r#""server_state":"completed""#));
+    assert!(read_rollout(&mut r).1.contains(r#""server_state":"completed""#));
 }
 
 #[test]
@@ -143,38 +145,38 @@
         half
     };
     for new in [answers(80, 40, 200_000), half(1_600_000)] {
-        let mut r = ordered();
-        goes_on(&mut r, SECOND, &old, &new, 0);
+        let mut r = registry_with_rollout();
+        send_tallies_for(&mut r, SECOND, &old, &new, 0);
         assert_eq!(stage(&r), Stage::Reverted, "{:?}", r.control_plane.copy.state.rollouts);
-        assert!(shown(&mut r).1.contains(r#""server_state":"reverted""#));
+        assert!(read_rollout(&mut r).1.contains(r#""server_state":"reverted""#));
     }
 }
 
-/// What harms both versions alike says nothing of the new one.
+/// A fault that affects both versions alike is no evidence against the new one.
 #[test]
 fn a_trouble_that_both_versions_have_does_not_revert() {
-    let mut r = ordered();
+    let mut r = registry_with_rollout();
     let (old, new) = (answers(2000, 400, 200_000), answers(160, 36, 210_000));
-    goes_on(&mut r, 6 * SECOND, &old, &new, 0);
+    send_tallies_for(&mut r, 6 * SECOND, &old, &new, 0);
     assert!(stage(&r) >= Stage::Partial && stage(&r) != Stage::Reverted, "{:?}", stage(&r));
 }
 
 #[test]
 fn a_version_of_which_too_little_was_seen_is_reverted_by_its_term() {
-    let mut r = ordered();
-    goes_on(&mut r, 8 * SECOND, &answers(2000, 0, 200_000), &answers(3, 0, 200_000), 0);
+    let mut r = registry_with_rollout();
+    send_tallies_for(&mut r, 8 * SECOND, &answers(2000, 0, 200_000), &answers(3, 0, 200_000), 0);
     assert_eq!(stage(&r), Stage::Trial);
-    goes_on(&mut r, SECOND, &answers(2000, 0, 200_000), &answers(3, 0, 200_000), 0);
+    send_tallies_for(&mut r, SECOND, &answers(2000, 0, 200_000), &answers(3, 0, 200_000), 0);
     assert_eq!(stage(&r), Stage::Reverted);
 }
 
 #[test]
 fn a_registry_that_does_not_lead_or_is_cut_off_decides_nothing() {
-    let mut r = ordered();
+    let mut r = registry_with_rollout();
     for (fresh, leads) in [(true, false), (false, true)] {
-        r.stands(fresh, leads);
-        tells(&mut r, 1, answers(2000, 0, 200_000), answers(80, 40, 200_000), 0);
-        r.wait(SECOND);
+        r.set_store_standing(fresh, leads);
+        send_tally(&mut r, 1, answers(2000, 0, 200_000), answers(80, 40, 200_000), 0);
+        r.run_for(SECOND);
         assert!(
             r.proposed.iter().all(|(_, c)| !matches!(c, Command::Rollout(RolloutChange::Advance { .. })))
         );
@@ -182,23 +184,23 @@
     }
 }
 
-/// Guards against an operator who cannot see how the versions compare before the verdict.
+/// Guards against a view in which an operator cannot compare the versions before the verdict.
 #[test]
 fn the_view_of_a_rollout_tells_servers_counts_and_times_of_both_versions() {
-    let mut r = ordered();
+    let mut r = registry_with_rollout();
     for (id, version) in [("i-1", Some("v1")), ("i-2", None), ("i-3", Some("v2"))] {
-        r.lands(server(id, &format!("10.9.2.{}:80", &id[2..])));
+        r.commit(add_server(id, &format!("10.9.2.{}:80", &id[2..])));
         if let Some(version) = version {
-            r.lands(Command::Servers(vec![ServerChange::Runs { id: id.into(), version: version.into() }]));
+            r.commit(Command::Servers(vec![ServerChange::Runs { id: id.into(), version: version.into() }]));
         }
     }
-    let view = |r: &mut Registry| jzon::parse(&shown(r).1).expect("JSON");
-    assert!(view(&mut r)["new_side"]["answer_count"].is_null(), "no proxy has told of it");
+    let view = |r: &mut Registry| jzon::parse(&read_rollout(r).1).expect("JSON");
+    assert!(view(&mut r)["new_side"]["answer_count"].is_null(), "no proxy has reported on it");
     let mut new = answers(90, 0, 210_000);
     new.add(&answers(11, 1, 900_000));
-    r.stands(true, false);
-    r.wait(SECOND);
-    tells(&mut r, 1, answers(2000, 4, 200_000), new, 0);
+    r.set_store_standing(true, false);
+    r.run_for(SECOND);
+    send_tally(&mut r, 1, answers(2000, 4, 200_000), new, 0);
     let seen = view(&mut r);
     let (old, new) = (&seen["old_side"], &seen["new_side"]);
     assert_eq!(seen["left_ms"], 9000);
@@ -218,7 +220,7 @@
     holds(&new["median_ms"], 210.0);
     holds(&new["percentile_95_ms"], 900.0);
     let call = r.call("DELETE", "/api/rollouts/heron", None, "");
-    r.land();
+    r.commit_proposed();
     assert_eq!(r.status(call), Some(200));
     let seen = view(&mut r);
     assert!(seen["left_ms"].is_null() && seen["server_state"] == "reverted", "{seen}");
--- a/crates/registry/tests/views.rs
+++ b/crates/registry/tests/views.rs
@@ -1,4 +1,4 @@
-//! What the registry tells operators of itself, of servers and of proxies.
+//! The registry's answers to operators about itself, servers and proxies.
 
 use cluster::state::{Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::{FromStore, News, Seen, Up};
@@ -7,13 +7,13 @@
 use registry::control_plane::{ControlPlane, Input, Output, Parameters};
 use std::net::Ipv4Addr;
 
-const ME: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 4);
+const OWN_IP: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 4);
 const SECOND: u64 = 1_000_000;
 
-fn control_plane() -> ControlPlane {
+fn new_control_plane() -> ControlPlane {
     let zones = [("north-a", "north"), ("south-a", "south")];
     let parameters = Parameters {
-        own_ip: ME,
+        own_ip: OWN_IP,
         own_zone: "north-a".into(),
         zones: zones.map(|(z, r)| (z.to_string(), r.to_string())).into(),
         heartbeat_us: SECOND,
@@ -50,7 +50,7 @@
     Node { ip, name, zone: "north-a".into(), region: "north".into(), front }
 }
 
-fn learn(control_plane: &mut ControlPlane, now: u64) {
+fn load_state(control_plane: &mut ControlPlane, now: u64) {
     let server = |id: &str, cold_ms| Server {
         id: id.into(),
         service: "heron".into(),
@@ -70,22 +70,22 @@
     control_plane.handle(now, Input::StoreUp, &mut out);
     let news = News::Run { from: 0, to: 5, commands };
     control_plane.handle(now, Input::Store(FromStore::News(news)), &mut out);
-    stands(control_plane, now);
+    set_store_fresh(control_plane, now);
 }
 
-/// The store answers that it leads and holds all that is agreed.
-fn stands(control_plane: &mut ControlPlane, now: u64) {
-    let core = vec![ME, Ipv4Addr::new(10, 9, 0, 5)];
+/// The store reports that it leads and is fresh.
+fn set_store_fresh(control_plane: &mut ControlPlane, now: u64) {
+    let core = vec![OWN_IP, Ipv4Addr::new(10, 9, 0, 5)];
     let standing = FromStore::Standing { core, fresh_ms: Some(0), leads: true, term: 1, asked: now };
     control_plane.handle(now, Input::Store(standing), &mut Vec::new());
 }
 
 #[test]
 fn a_registry_that_knows_nothing_says_so() {
-    let mut control_plane = control_plane();
+    let mut control_plane = new_control_plane();
     let (status, body) = call(&mut control_plane, 0, "GET", "/api/status", "");
     assert_eq!(status, 200);
-    assert_eq!((&body["answered_by"], &body["revision"]), (&ME.to_string().into(), &0.into()));
+    assert_eq!((&body["answered_by"], &body["revision"]), (&OWN_IP.to_string().into(), &0.into()));
     assert!(body["config_version"].is_null());
     assert_eq!((&body["fresh"], &body["leads"]), (&false.into(), &false.into()));
     assert!(call(&mut control_plane, 0, "GET", "/api/instances", "").1["instance_list"].is_empty());
@@ -94,9 +94,9 @@
 
 #[test]
 fn the_state_and_what_was_heard_are_shown_without_asking_the_store() {
-    let mut control_plane = control_plane();
-    learn(&mut control_plane, SECOND);
-    stands(&mut control_plane, 2 * SECOND);
+    let mut control_plane = new_control_plane();
+    load_state(&mut control_plane, SECOND);
+    set_store_fresh(&mut control_plane, 2 * SECOND);
     let (_, body) = call(&mut control_plane, 2 * SECOND, "GET", "/api/instances", "");
     let server = &body["instance_list"][0];
     assert_eq!(body["revision"], 5);
@@ -124,7 +124,7 @@
     assert_eq!((&body["fresh"], &body["leads"]), (&true.into(), &true.into()));
     assert_eq!(body["evacuated_zones"], jzon::array!["south-a"]);
     assert_eq!(body["core_list"][0]["zone_name"], "north-a");
-    assert!(body["core_list"][1]["zone_name"].is_null(), "that machine has not said where it is");
+    assert!(body["core_list"][1]["zone_name"].is_null(), "that machine has not reported its zone");
     assert_eq!(body["follower_list"].len(), 1);
     assert_eq!(body["follower_list"][0]["revision"], 3);
     control_plane.handle(now, Input::StoreDown, &mut out);
