--- a/crates/registry/src/control_plane.rs
+++ b/crates/registry/src/control_plane.rs
@@ -65,6 +65,8 @@
     ProxyDown(u64),
 }
 
+/// What the state machine wants sent, in the same terms.
+#[derive(Debug)]
 pub enum Output {
     Answer(u64, Answer),
     Store(ToStore),
@@ -885,7 +887,7 @@
         }
     }
 
-    /// Does the periodic work.
+    /// Sends the periodic messages and proposes what is due.
     fn run_round(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.report_usage_at.min(self.next_round) {
             self.send_readings(out);
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    fn to_input(&mut self, now: Micros, message: Message) -> Option<Input> {
+    fn input_from(&mut self, now: Micros, message: Message) -> Option<Input> {
         Some(match message {
             Message::Call(id, request, reply) => {
                 self.replies.insert(id, reply);
@@ -251,7 +251,7 @@
     fn take(&mut self, now: Micros, message: Option<Message>) {
         let input = match message {
             None => Some(Input::Tick),
-            Some(message) => self.to_input(now, message),
+            Some(message) => self.input_from(now, message),
         };
         if let Some(input) = input {
             let day = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
--- a/crates/registry/src/rollouts.rs
+++ b/crates/registry/src/rollouts.rs
@@ -20,7 +20,7 @@
 const TALLY_INTERVALS: Micros = 6;
 
 /// The earliest and latest ends of a rollout's stages, as parts of its term. A version may turn bad some seconds
-/// after its start, so the trial lasts as long as its exposure limit and the time for the later stages allow.
+/// after its start, so the trial lasts as long as its share of the requests and the time for the later stages allow.
 const TRIAL_END: f64 = 0.45;
 const PARTIAL_DURATION: f64 = 0.16;
 /// The longest partial stage; this limits the exposure to a bad version.
--- a/crates/registry/src/rollouts/evidence.rs
+++ b/crates/registry/src/rollouts/evidence.rs
@@ -20,10 +20,10 @@
 /// The test looks for versions whose share of bad answers is larger than tolerated by these parts of the remaining
 /// answers.
 const EXCESS_SHARES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
-/// With fewer failed answers there is no reason to revert, or to wait.
+/// With fewer bad answers a version is not reverted, and with fewer failed ones it is not held back.
 const MIN_BAD_ANSWERS: u32 = 5;
 const MIN_DOUBTFUL_FAILED: u32 = 3;
-/// The same for slow answers, of which a good version has some too.
+/// With fewer slow answers, of which a good version has some too, it is not held back either.
 const MIN_DOUBTFUL_SLOW: u32 = 8;
 /// Likelihood ratios that are enough to wait: over any span of time, and over all of it.
 const DOUBT_ANY_SPAN: f64 = 20.0;
