--- a/crates/proxy/tests/tree.rs
+++ b/crates/proxy/tests/tree.rs
@@ -6,7 +6,7 @@
 use cluster::{Micros, Rev};
 use proxy::feed::{Feed, Input, Output};
 use proxy::tree;
-use registry::board::{self, Board, Terms};
+use registry::control_plane::{self, ControlPlane, Parameters};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -63,7 +63,7 @@
     events: BTreeMap<(Micros, u64), Event>,
     numbers: u64,
     proxies: BTreeMap<Ipv4Addr, Proxy>,
-    boards: BTreeMap<Ipv4Addr, Board>,
+    registries: BTreeMap<Ipv4Addr, ControlPlane>,
     wires: BTreeMap<u64, Wire>,
     /// Machines that send and receive nothing.
     frozen: BTreeSet<Ipv4Addr>,
@@ -85,23 +85,23 @@
         let ips: Vec<Ipv4Addr> = (1..=registries).map(core).collect();
         for me in &ips {
             let (zone, zones) = ("north-a".to_string(), zones());
-            let terms = Terms {
-                me: *me,
-                zone,
+            let parameters = Parameters {
+                own_ip: *me,
+                own_zone: zone,
                 zones,
-                beat_us: BEAT,
-                ttl_s: 5.0,
-                sync_us: 5 * SECOND,
-                settle_us: 2 * SECOND,
-                zones_lost: 1,
-                repeat_us: 10 * SECOND,
+                heartbeat_us: BEAT,
+                directory_ttl_s: 5.0,
+                max_sync_us: 5 * SECOND,
+                propagation_us: 2 * SECOND,
+                tolerated_zone_losses: 1,
+                order_repeat_us: 10 * SECOND,
             };
-            let mut board = Board::new(terms, world.now);
+            let mut registry = ControlPlane::new(parameters, world.now);
             let mut out = Vec::new();
-            board.handle(world.now, board::Input::StoreUp, &mut out);
+            registry.handle(world.now, control_plane::Input::StoreUp, &mut out);
             let standing = store_standing(&ips, *me, world.now);
-            board.handle(world.now, board::Input::Store(standing), &mut out);
-            world.boards.insert(*me, board);
+            registry.handle(world.now, control_plane::Input::Store(standing), &mut out);
+            world.registries.insert(*me, registry);
         }
         for last in 1..=proxies {
             world.start(node(last));
@@ -110,7 +110,7 @@
     }
 
     fn start(&mut self, node: Node) {
-        let seeds = self.boards.keys().copied().collect();
+        let seeds = self.registries.keys().copied().collect();
         let feed = Feed::new(node.clone(), zones(), seeds, BEAT, self.now, self.now);
         self.proxies.insert(node.ip, Proxy { node, copy: Copy::default(), feed });
     }
@@ -123,36 +123,36 @@
     /// The delay of a message to this machine; core machines are in the north.
     fn delay(&self, child: Ipv4Addr, to: Ipv4Addr) -> Micros {
         let south = self.proxies.get(&child).is_some_and(|p| p.node.region == "south");
-        if self.boards.contains_key(&to) && south { 17 * MS } else { MS }
+        if self.registries.contains_key(&to) && south { 17 * MS } else { MS }
     }
 
     fn commit(&mut self, command: Command) -> Rev {
         self.rev += 1;
         let run = News::Run { from: self.rev - 1, to: self.rev, commands: vec![(self.rev, command)] };
-        for ip in self.boards.keys().copied().collect::<Vec<_>>() {
-            self.board(ip, board::Input::Store(FromStore::News(run.clone())));
+        for ip in self.registries.keys().copied().collect::<Vec<_>>() {
+            self.registry(ip, control_plane::Input::Store(FromStore::News(run.clone())));
         }
         self.rev
     }
 
-    fn board(&mut self, ip: Ipv4Addr, input: board::Input) {
+    fn registry(&mut self, ip: Ipv4Addr, input: control_plane::Input) {
         if self.frozen.contains(&ip) {
             return;
         }
         let mut out = Vec::new();
-        self.boards.get_mut(&ip).unwrap().handle(self.now, input, &mut out);
+        self.registries.get_mut(&ip).unwrap().handle(self.now, input, &mut out);
         for output in out {
             match output {
-                board::Output::Proxy(link, down) => self.down(link, down),
-                board::Output::Peer(to, gossip) => self.post(MS, Event::Peer(to, gossip)),
-                board::Output::Store(ToStore::Propose { ticket, command }) => {
+                control_plane::Output::Proxy(link, down) => self.down(link, down),
+                control_plane::Output::Peer(to, gossip) => self.post(MS, Event::Peer(to, gossip)),
+                control_plane::Output::Store(ToStore::Propose { ticket, command }) => {
                     let rev = self.commit(command);
                     let result = Ok((rev, cluster::state::Done::Taken));
-                    self.board(ip, board::Input::Store(FromStore::Proposed { ticket, result }));
+                    self.registry(ip, control_plane::Input::Store(FromStore::Proposed { ticket, result }));
                 }
-                board::Output::Store(ToStore::Stand { asked }) => {
-                    let core: Vec<Ipv4Addr> = self.boards.keys().copied().collect();
-                    self.board(ip, board::Input::Store(store_standing(&core, ip, asked)));
+                control_plane::Output::Store(ToStore::Stand { asked }) => {
+                    let core: Vec<Ipv4Addr> = self.registries.keys().copied().collect();
+                    self.registry(ip, control_plane::Input::Store(store_standing(&core, ip, asked)));
                 }
                 _ => {}
             }
@@ -209,7 +209,7 @@
         for output in out {
             match output {
                 Output::Connect { link, ip: to, relay } => {
-                    assert_eq!(relay, !self.boards.contains_key(&to));
+                    assert_eq!(relay, !self.registries.contains_key(&to));
                     self.numbers += 1;
                     let (number, child) = (self.numbers, (ip, link));
                     self.wires.insert(number, Wire { child, to });
@@ -256,18 +256,18 @@
             }
             Event::Up(link, up) => {
                 let Some((_, to)) = ends(self, link) else { return };
-                if self.boards.contains_key(&to) {
-                    self.board(to, board::Input::Proxy(link, up));
+                if self.registries.contains_key(&to) {
+                    self.registry(to, control_plane::Input::Proxy(link, up));
                 } else {
                     self.proxy(to, Input::FromFollower(link, up));
                 }
             }
             Event::ChildDisconnected(wire) => self.proxy(wire.child.0, Input::Disconnected(wire.child.1)),
-            Event::ParentDisconnected(link, wire) if self.boards.contains_key(&wire.to) => {
-                self.board(wire.to, board::Input::ProxyDown(link));
+            Event::ParentDisconnected(link, wire) if self.registries.contains_key(&wire.to) => {
+                self.registry(wire.to, control_plane::Input::ProxyDown(link));
             }
             Event::ParentDisconnected(link, wire) => self.proxy(wire.to, Input::FollowerGone(link)),
-            Event::Peer(to, gossip) => self.board(to, board::Input::Peer(gossip)),
+            Event::Peer(to, gossip) => self.registry(to, control_plane::Input::Peer(gossip)),
         }
     }
 
@@ -276,8 +276,9 @@
         loop {
             let live = |ip: &&Ipv4Addr| !self.frozen.contains(ip);
             let proxies = self.proxies.keys().filter(live).map(|ip| (self.proxies[ip].feed.wake_at(), *ip));
-            let boards = self.boards.keys().filter(live).map(|ip| (self.boards[ip].wake_at(), *ip));
-            let wake = proxies.chain(boards).min();
+            let registries =
+                self.registries.keys().filter(live).map(|ip| (self.registries[ip].wake_at(), *ip));
+            let wake = proxies.chain(registries).min();
             let event = self.events.keys().next().map_or(Micros::MAX, |k| k.0);
             let next = event.min(wake.map_or(Micros::MAX, |w| w.0));
             if next > until {
@@ -289,8 +290,8 @@
                 let (_, event) = self.events.pop_first().unwrap();
                 self.deliver(event);
             } else if let Some((_, ip)) = wake {
-                if self.boards.contains_key(&ip) {
-                    self.board(ip, board::Input::Tick);
+                if self.registries.contains_key(&ip) {
+                    self.registry(ip, control_plane::Input::Tick);
                 } else {
                     self.proxy(ip, Input::Tick);
                 }
@@ -345,8 +346,12 @@
     assert!(each < 2.1, "{each} messages for each proxy and report interval");
     world.reaches_all();
     // And all registries list all of them.
-    for board in world.boards.values() {
-        assert!(world.proxies.keys().all(|ip| board.presence.alive(world.now, &board.copy.state, *ip)));
+    for registry in world.registries.values() {
+        assert!(world.proxies.keys().all(|ip| registry.presence.is_alive(
+            world.now,
+            &registry.copy.state,
+            *ip
+        )));
     }
 }
 
@@ -359,10 +364,10 @@
     let rev = world.commit(Command::Evacuate { zone: "south-a".into(), on: true });
     for _ in 0..60 {
         world.run(50 * MS);
-        for board in world.boards.values() {
+        for registry in world.registries.values() {
             let lost: Vec<_> = world
                 .live()
-                .filter(|p| !board.presence.alive(world.now, &board.copy.state, p.node.ip))
+                .filter(|p| !registry.presence.is_alive(world.now, &registry.copy.state, p.node.ip))
                 .collect();
             assert!(lost.is_empty(), "{} and {} more are alive", lost[0].node.ip, lost.len() - 1);
         }
--- a/crates/registry/src/bookings.rs
+++ b/crates/registry/src/bookings.rs
@@ -1,7 +1,8 @@
-//! Bookings at the registry: what time it is, what room there is, and what of the bookings is due. No I/O, no clock.
+//! Bookings of capacity: the time of day, the room that can be booked, and the changes that are due. No I/O, no
+//! clock.
 //!
-//! Phases are turned by one registry, the one beside the leader, by the time of day that most registries go by. What it
-//! orders names the epoch that it builds on, so an order that comes late, or twice, has no effect.
+//! One registry, the one on the leader's machine, changes phases, by the median of the registries' clocks. Each
+//! change names the epoch it builds on, so a late or repeated one has no effect.
 
 use crate::calls::Answer;
 use cluster::Micros;
@@ -12,55 +13,58 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Of the slots that may be booked, one in so many stays for all others.
-const OTHERS: u32 = 4;
-/// Divisions of one booking lie so many beats apart, and never less than a settling: what the last one took away has
-/// bound everywhere before another one gives it to somebody (`crates/cluster/tests/division.rs` has the course that would
-/// exceed the booking).
-const BEATS_APART: Micros = 2;
-/// A booking is divided, so that every proxy has taken up its part, so many beats and settlings before it opens.
-const BEATS_AHEAD: Micros = 6;
-const SETTLES_AHEAD: Micros = 2;
-/// A fifth is divided evenly, the rest by demand: who is asked for the first time has something.
-const BY_DEMAND: u64 = 4;
+/// One of this many bookable slots stays unbooked for all other requests.
+const UNBOOKABLE_ONE_IN: u32 = 4;
+/// Heartbeat intervals between two divisions of one booking; the pause is at least the propagation time. What one
+/// division takes from a proxy must have taken effect everywhere before the next gives it to another;
+/// `crates/cluster/tests/division.rs` has the sequence that would otherwise exceed the booking.
+const DIVISION_INTERVAL_HEARTBEATS: Micros = 2;
+/// A booking is divided this many heartbeat intervals and propagation times before it opens, so that every proxy has
+/// applied its part by then.
+const DIVIDE_AHEAD_HEARTBEATS: Micros = 6;
+const DIVIDE_AHEAD_PROPAGATIONS: Micros = 2;
+/// Weight of demand against 1 for even parts: four fifths follow demand and one fifth is split evenly, so that a
+/// proxy that gets its first requests has a part already.
+const DEMAND_WEIGHT: u64 = 4;
 
 // ---- the time of day ----
 
-/// The times of day that the registries go by. Their middle one counts, so that one clock that jumps moves nothing.
+/// The registries' clocks. Their median counts, so that a single clock that jumps has no effect.
 #[derive(Default)]
 pub struct Clocks {
-    hold_us: Micros,
-    mine: Option<(Micros, DayMs)>,
-    told: BTreeMap<Ipv4Addr, (Micros, DayMs)>,
+    valid_us: Micros,
+    own: Option<(Micros, DayMs)>,
+    peers: BTreeMap<Ipv4Addr, (Micros, DayMs)>,
     last: Option<(Micros, DayMs)>,
 }
 
 impl Clocks {
-    /// `hold_us`: a time that was told counts for so long.
-    pub fn new(hold_us: Micros) -> Clocks {
-        Clocks { hold_us, ..Clocks::default() }
+    /// `valid_us`: how long a time received from another registry stays valid.
+    pub fn new(valid_us: Micros) -> Clocks {
+        Clocks { valid_us, ..Clocks::default() }
     }
 
-    pub fn set(&mut self, now: Micros, day_ms: DayMs) {
-        self.mine = Some((now, day_ms));
+    pub fn set_own(&mut self, now: Micros, day_ms: DayMs) {
+        self.own = Some((now, day_ms));
     }
 
-    pub fn heard(&mut self, now: Micros, ip: Ipv4Addr, day_ms: DayMs) {
-        self.told.insert(ip, (now, day_ms));
+    pub fn set_peer(&mut self, now: Micros, ip: Ipv4Addr, day_ms: DayMs) {
+        self.peers.insert(ip, (now, day_ms));
     }
 
-    pub fn mine(&self, now: Micros) -> Option<DayMs> {
-        self.mine.map(|at| on(now, at))
+    pub fn own(&self, now: Micros) -> Option<DayMs> {
+        self.own.map(|at| time_of_day_at(now, at))
     }
 
-    /// The middle one and of how many, this registry's own among them.
-    pub fn read(&mut self, now: Micros) -> Option<(DayMs, usize)> {
-        self.told.retain(|_, (at, _)| now <= *at + self.hold_us);
-        let mut all: Vec<DayMs> = self.told.values().chain(&self.mine).map(|at| on(now, *at)).collect();
+    /// The median time of day and the number of clocks it is taken from, including this registry's own.
+    pub fn median(&mut self, now: Micros) -> Option<(DayMs, usize)> {
+        self.peers.retain(|_, (at, _)| now <= *at + self.valid_us);
+        let mut all: Vec<DayMs> =
+            self.peers.values().chain(&self.own).map(|at| time_of_day_at(now, *at)).collect();
         all.sort();
         let (low, high) = (*all.get(all.len().checked_sub(1)? / 2)?, all[all.len() / 2]);
-        // Of two it is the one that goes on from what was read before.
-        let day = match self.last.map(|last| on(now, last)) {
+        // Of the two middle ones, the one closer to the continuation of the previous reading.
+        let day = match self.last.map(|last| time_of_day_at(now, last)) {
             Some(was) if was.abs_diff(high) < was.abs_diff(low) => high,
             _ => low,
         };
@@ -69,26 +73,26 @@
     }
 }
 
-fn on(now: Micros, (at, day_ms): (Micros, DayMs)) -> DayMs {
+fn time_of_day_at(now: Micros, (at, day_ms): (Micros, DayMs)) -> DayMs {
     day_ms + now.saturating_sub(at) / 1000
 }
 
 // ---- the room ----
 
-/// Where room is looked for.
-pub struct Ground<'a> {
+/// The state from which free capacity is computed.
+pub struct Capacity<'a> {
     pub now: Micros,
     pub day_ms: DayMs,
     pub state: &'a State,
-    /// Zones and their regions.
+    /// Zone names and the region of each.
     pub zones: &'a BTreeMap<String, String>,
-    /// How many zones may be lost at one time.
-    pub zones_lost: usize,
+    /// How many zones may fail at the same time.
+    pub tolerated_zone_losses: usize,
 }
 
-impl Ground<'_> {
-    /// What all bookings of its service together may come to while this one lasts: the slots of servers that will be
-    /// warm, without the largest zones, as these may be lost, and without what stays for all others.
+impl Capacity<'_> {
+    /// The slots that all bookings of the service may share while this one lasts: those of servers that will be warm
+    /// when it opens, without the largest zones, which may fail, and without the part kept for all other requests.
     pub fn room(&self, booking: &Booking, homes: Option<&BTreeSet<String>>) -> u32 {
         let opens_at = self.now + booking.opens_ms.saturating_sub(self.day_ms).saturating_mul(1000);
         let config = self.state.config.as_ref();
@@ -106,12 +110,12 @@
         }
         let mut slots: Vec<u32> = slots.into_values().collect();
         slots.sort();
-        slots.truncate(slots.len().saturating_sub(self.zones_lost));
+        slots.truncate(slots.len().saturating_sub(self.tolerated_zone_losses));
         let all = slots.into_iter().fold(0, u32::saturating_add);
-        all - all.div_ceil(OTHERS)
+        all - all.div_ceil(UNBOOKABLE_ONE_IN)
     }
 
-    /// What of its tenants' quotas other bookings of theirs leave.
+    /// The part of its tenants' quota that their other bookings leave.
     pub fn quota_free(&self, booking: &Booking, quota: u32) -> u32 {
         let theirs = |b: &Booking| b.tenants.iter().any(|t| booking.tenants.contains(t));
         quota.saturating_sub(self.state.bookings.peak(booking, theirs))
@@ -120,31 +124,32 @@
 
 // ---- what is due ----
 
-/// Keeps when each division was first seen, so that the next one is not made too soon after it, whoever makes it.
-pub struct Duty {
-    beat_us: Micros,
-    settle_us: Micros,
-    divided: BTreeMap<String, (u64, Micros)>,
+/// Decides which change of a booking is due. Remembers when each division was first seen, so that the next one does
+/// not follow too soon, whichever registry makes it.
+pub struct BookingScheduler {
+    heartbeat_us: Micros,
+    propagation_us: Micros,
+    divisions_seen: BTreeMap<String, (u64, Micros)>,
 }
 
-impl Duty {
-    /// `settle_us`: within so long every proxy in touch has taken up what it was told.
-    pub fn new(beat_us: Micros, settle_us: Micros) -> Duty {
-        Duty { beat_us, settle_us, divided: BTreeMap::new() }
+impl BookingScheduler {
+    /// `propagation_us`: every reachable proxy has applied a committed change within this time.
+    pub fn new(heartbeat_us: Micros, propagation_us: Micros) -> BookingScheduler {
+        BookingScheduler { heartbeat_us, propagation_us, divisions_seen: BTreeMap::new() }
     }
 
-    pub fn look(&mut self, now: Micros, bookings: &Bookings) {
-        self.divided.retain(|name, _| bookings.contains_key(name));
+    pub fn observe(&mut self, now: Micros, bookings: &Bookings) {
+        self.divisions_seen.retain(|name, _| bookings.contains_key(name));
         for (name, b) in bookings.iter() {
-            let seen = self.divided.entry(name.clone()).or_insert((0, 0));
+            let seen = self.divisions_seen.entry(name.clone()).or_insert((0, 0));
             if seen.0 != b.division.number {
                 *seen = (b.division.number, now);
             }
         }
     }
 
-    /// The next change, phases before divisions; a later one is found once this one has landed. `alive`: proxies that
-    /// take requests; `wanted`: what was asked of one for the booking of a key.
+    /// The next change that is due, phases before divisions; a later one is found once this one has committed.
+    /// `alive`: proxies that take requests; `wanted`: the demand reported by a proxy for the booking with a key.
     pub fn due(
         &self,
         now: Micros,
@@ -153,39 +158,42 @@
         alive: &BTreeSet<Ipv4Addr>,
         wanted: impl Fn(u32, Ipv4Addr) -> u32,
     ) -> Option<BookChange> {
-        let turns = bookings.iter().find_map(|(name, b)| {
-            let phase = self.turn(now, day_ms, b)?;
+        let phase_change = bookings.iter().find_map(|(name, b)| {
+            let phase = self.due_phase(now, day_ms, b)?;
             Some(BookChange::Phase { name: name.clone(), epoch: b.epoch, phase })
         });
-        turns.or_else(|| {
+        phase_change.or_else(|| {
             bookings.iter().find_map(|(name, b)| {
-                let seen = self.divided.get(name).map_or(0, |d| d.1);
-                let apart = (BEATS_APART * self.beat_us).max(self.settle_us);
+                let seen = self.divisions_seen.get(name).map_or(0, |d| d.1);
+                let apart = (DIVISION_INTERVAL_HEARTBEATS * self.heartbeat_us).max(self.propagation_us);
                 let soon = b.division.number > 0 && now < seen + apart;
-                if soon || !self.armed(day_ms, b) {
+                if soon || !self.is_dividable(day_ms, b) {
                     return None;
                 }
                 let wanted = |ip| u64::from(wanted(b.booking.key(), ip));
-                let parts = division(b, alive, wanted)?;
+                let parts = rebalanced_parts(b, alive, wanted)?;
                 Some(BookChange::Divide { name: name.clone(), number: b.division.number + 1, parts })
             })
         })
     }
 
-    fn turn(&self, now: Micros, day_ms: DayMs, b: &Booked) -> Option<Phase> {
+    fn due_phase(&self, now: Micros, day_ms: DayMs, b: &Booked) -> Option<Phase> {
         let ramp_us = u64::from(b.booking.ramp_ms) * 1000;
         match b.phase {
             Phase::Planned if day_ms >= b.booking.closes_ms => Some(Phase::Ended),
             Phase::Planned if day_ms >= b.booking.opens_ms => Some(Phase::Open),
             Phase::Open if day_ms >= b.booking.closes_ms => Some(Phase::Closing),
-            // By this registry's own clock: every proxy has heard by then that it closes, and has given all back.
-            Phase::Closing if b.lasted_us(now) >= ramp_us + self.settle_us => Some(Phase::Ended),
+            // Measured on this registry's steady clock: by then every proxy has learned of the closing and has
+            // returned its part.
+            Phase::Closing if b.lasted_us(now) >= ramp_us + self.propagation_us => Some(Phase::Ended),
             _ => None,
         }
     }
 
-    fn armed(&self, day_ms: DayMs, b: &Booked) -> bool {
-        let ahead_ms = (BEATS_AHEAD * self.beat_us + SETTLES_AHEAD * self.settle_us) / 1000;
+    fn is_dividable(&self, day_ms: DayMs, b: &Booked) -> bool {
+        let ahead_ms = (DIVIDE_AHEAD_HEARTBEATS * self.heartbeat_us
+            + DIVIDE_AHEAD_PROPAGATIONS * self.propagation_us)
+            / 1000;
         match b.phase {
             Phase::Planned => day_ms + ahead_ms >= b.booking.opens_ms,
             Phase::Open => true,
@@ -194,8 +202,8 @@
     }
 }
 
-/// The parts as they should be; None: as they are will do.
-fn division(
+/// The parts as they should be, or none if the present ones are good enough.
+fn rebalanced_parts(
     b: &Booked,
     alive: &BTreeSet<Ipv4Addr>,
     wanted: impl Fn(Ipv4Addr) -> u64,
@@ -204,11 +212,11 @@
         return None;
     }
     let all: u64 = alive.iter().map(|ip| wanted(*ip)).sum();
-    let weight = |ip: &Ipv4Addr| wanted(*ip) * BY_DEMAND * alive.len() as u64 + all;
+    let weight = |ip: &Ipv4Addr| wanted(*ip) * DEMAND_WEIGHT * alive.len() as u64 + all;
     let mut parts = divide(b.booking.flight, &alive.iter().map(|ip| (*ip, weight(ip))).collect());
     parts.retain(|_, part| *part > 0);
     let held: u64 = alive.iter().map(|ip| u64::from(b.division.part(*ip))).sum();
-    // A part that demand has moved by more than chance: so many requests that come by chance are off by a root of it.
+    // Whether demand has moved a part by more than chance; the random deviation of a count is about its square root.
     let moved = |ip: &Ipv4Addr| {
         let (is, should) = (b.division.part(*ip), parts.get(ip).copied().unwrap_or(0));
         let by = u64::from(is.abs_diff(should));
@@ -219,30 +227,30 @@
 
 // ---- answers ----
 
-/// An epoch as callers give it in If-Match.
-pub fn show_epoch(epoch: u64) -> String {
+/// An epoch as callers send it in If-Match.
+pub fn format_epoch(epoch: u64) -> String {
     show_version(u32::try_from(epoch).unwrap_or(u32::MAX))
 }
 
-pub fn full(why: &str, free: u32) -> Answer {
+pub fn no_room_answer(why: &str, free: u32) -> Answer {
     let trouble = format!("{why}: {free} in flight are free");
     Answer::json(409, jzon::object! { trouble: trouble, free_count: free }.dump())
 }
 
-pub fn unbooked(why: &Unbooked) -> Answer {
+pub fn refusal_answer(why: &Unbooked) -> Answer {
     match why {
         Unbooked::Outdated { epoch: 0 } => Answer::error(404, "no booking of this name"),
         Unbooked::Outdated { epoch } => {
-            Answer::error(412, &format!("it has changed since: its epoch is {}", show_epoch(*epoch)))
+            Answer::error(412, &format!("it has changed since: its epoch is {}", format_epoch(*epoch)))
         }
-        Unbooked::Full { free } => full("the service has no such room over this window", *free),
+        Unbooked::Full { free } => no_room_answer("the service has no such room over this window", *free),
         Unbooked::TooMany => Answer::error(409, "as many bookings as are kept"),
         Unbooked::Fixed(what) => Answer::error(409, what),
         Unbooked::Undivided => Answer::error(409, "parts of another division, or more than the booking"),
     }
 }
 
-pub fn show(b: &Booked) -> JsonValue {
+pub fn booking_view(b: &Booked) -> JsonValue {
     let booking = &b.booking;
     let phase = match b.phase {
         Phase::Planned => "planned",
@@ -253,13 +261,13 @@
     jzon::object! {
         booking_name: booking.name.as_str(),
         booking_phase: phase,
-        booking_epoch: show_epoch(b.epoch),
+        booking_epoch: format_epoch(b.epoch),
         cancelled: b.cancelled,
         tenant_refs: booking.tenants.clone(),
         route_refs: booking.routes.clone(),
         service_ref: booking.service.as_str(),
         flight_count: booking.flight,
-        rate_per_s: rounded(booking.rate_s()),
+        rate_per_s: round_to_thousandths(booking.rate_s()),
         opens_ms: booking.opens_ms,
         closes_ms: booking.closes_ms,
         ramp_ms: booking.ramp_ms,
@@ -269,6 +277,6 @@
     }
 }
 
-pub fn rounded(n: f64) -> f64 {
+pub fn round_to_thousandths(n: f64) -> f64 {
     (n * 1000.0).round() / 1000.0
 }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,5 +1,5 @@
-//! The shell of the registry: listeners and links around `registry::board`. It takes the outside calls for the store of
-//! configuration too.
+//! The process around `registry::control_plane`: listeners, links and the clock. It takes outside calls for the
+//! configuration store too.
 
 use cluster::Rev;
 use cluster::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
@@ -8,8 +8,8 @@
 use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds};
 use net::limits::Held;
-use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
+use registry::control_plane::{ControlPlane, DEFAULT_ORDER_REPEAT_US, Input, Output, Parameters};
 use runtime::event_loop::{Inbox, StateMachine};
 use runtime::link::{ACK_TIMEOUT, Event, LinkHandle, ReconnectingLink};
 use runtime::{Runtime, SignalEvent};
@@ -21,87 +21,94 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What is left to callers that are being answered when the program is asked to end.
-const PARTING_US: Micros = 700_000;
-/// A configuration may be as large as the links between the processes carry.
+/// Time for calls in progress to be answered after a request to stop.
+const DRAIN_US: Micros = 700_000;
+/// Size limits of a request in bytes. The body may be as large as a configuration that the links between processes
+/// carry.
 const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 4 << 20 };
-/// Descriptors for files, and other than connections.
-const KEPT: u64 = 64;
+/// File descriptors that are not available for connections.
+const RESERVED_DESCRIPTORS: u64 = 64;
 
-enum Told {
+/// What other threads post to the inbox of the main loop.
+enum Message {
     Call(u64, Request, Reply),
-    CallGone(u64),
+    CallClosed(u64),
     StoreLink(u64, Event<FromStore>),
     PeerLink(Ipv4Addr, u64, Event<()>),
-    PeerTaken(LinkHandle),
-    PeerSays(u64, Event<Gossip>),
-    ProxyTaken(LinkHandle),
-    ProxySays(u64, Event<Up>),
-    Asked(SignalEvent),
+    PeerAccepted(LinkHandle),
+    PeerEvent(u64, Event<Gossip>),
+    ProxyAccepted(LinkHandle),
+    ProxyEvent(u64, Event<Up>),
+    Signal(SignalEvent),
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", work)
+    runtime::run(
+        "curlewfront-registry",
+        "Tracks curlewfront's servers and proxies and serves the control-plane API",
+        run,
+    )
 }
 
-fn work(mut start: Runtime) -> Result<()> {
-    let stage = start.event_loop::<Told>()?;
-    let (inbox, room) = (stage.inbox.clone(), start.room(stage.clock, KEPT)?);
-    let s = &start.settings;
-    let terms = Terms {
-        me: s.ip,
-        zone: s.zone.clone(),
+fn run(mut runtime: Runtime) -> Result<()> {
+    let worker = runtime.event_loop::<Message>()?;
+    let (inbox, room) = (worker.inbox.clone(), runtime.room(worker.clock, RESERVED_DESCRIPTORS)?);
+    let s = &runtime.settings;
+    let parameters = Parameters {
+        own_ip: s.ip,
+        own_zone: s.zone.clone(),
         zones: s.zones.clone(),
-        beat_us: s.beat_period_ms * 1000,
-        ttl_s: s.bounds.ttl_max_s.unwrap_or(TTL_S),
-        sync_us: (s.bounds.sync_time_s.unwrap_or(SYNC_S) * 1e6) as Micros,
-        settle_us: s.bounds.config_apply_ms.unwrap_or(SETTLE_MS) * 1000,
-        zones_lost: s.tolerance.zones as usize,
-        repeat_us: s.bounds.ack_limit_ms.map_or(REPEAT_US, |ms| ms * 1000),
+        heartbeat_us: s.beat_period_ms * 1000,
+        directory_ttl_s: s.bounds.ttl_max_s.unwrap_or(DEFAULT_DIRECTORY_TTL_S),
+        max_sync_us: (s.bounds.sync_time_s.unwrap_or(DEFAULT_MAX_SYNC_S) * 1e6) as Micros,
+        propagation_us: s.bounds.config_apply_ms.unwrap_or(DEFAULT_CONFIG_APPLY_MS) * 1000,
+        tolerated_zone_losses: s.tolerance.zones as usize,
+        order_repeat_us: s.bounds.ack_limit_ms.map_or(DEFAULT_ORDER_REPEAT_US, |ms| ms * 1000),
     };
     let draining = Arc::new(AtomicBool::new(false));
-    let desk = Arc::new(Calls { inbox: inbox.clone(), draining: draining.clone() });
+    let desk = Arc::new(CallDesk { inbox: inbox.clone(), draining: draining.clone() });
     let mut listens = vec![s.control()?];
     listens.extend(s.directory().ok().filter(|d| !listens.contains(d)));
     for listen in listens {
         Door::start(listen, room.clone(), desk.clone())
             .map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
-    let peers = start.listen(REGISTRY_PEERS, &inbox, Told::PeerTaken, Told::PeerSays)?;
-    start.listen(REGISTRY_NEWS, &inbox, Told::ProxyTaken, Told::ProxySays)?;
-    let posts = inbox.clone();
-    start.on_signal(move |asked| posts.post(Told::Asked(asked)))?;
+    let peers = runtime.listen(REGISTRY_PEERS, &inbox, Message::PeerAccepted, Message::PeerEvent)?;
+    runtime.listen(REGISTRY_NEWS, &inbox, Message::ProxyAccepted, Message::ProxyEvent)?;
+    let signal_inbox = inbox.clone();
+    runtime.on_signal(move |event| signal_inbox.post(Message::Signal(event)))?;
 
-    let (over, ended) = channel();
-    let shell = Shell {
-        board: Board::new(terms, stage.clock.now()),
-        store: ReconnectingLink::new(start.internal_addr(STORE_LOCAL)?),
+    let (end, ended) = channel();
+    let runner = Runner {
+        control_plane: ControlPlane::new(parameters, worker.clock.now()),
+        store: ReconnectingLink::new(runtime.internal_addr(STORE_LOCAL)?),
         peers_port: peers.port(),
-        peers: BTreeMap::new(),
-        taken: BTreeMap::new(),
-        proxies: BTreeMap::new(),
+        peer_links: BTreeMap::new(),
+        accepted_peers: BTreeMap::new(),
+        proxy_links: BTreeMap::new(),
         replies: BTreeMap::new(),
         inbox,
         out: Vec::new(),
         draining,
-        over,
-        ends_at: None,
-        logged_rollouts: 0,
+        end,
+        exit_at: None,
+        logged_rollouts_rev: 0,
     };
-    stage.run(shell, &ended)
+    worker.run(runner, &ended)
 }
 
-const TTL_S: f64 = 5.0;
-const SYNC_S: f64 = 5.0;
-const SETTLE_MS: u64 = 3000;
+// Values where the settings name none.
+const DEFAULT_DIRECTORY_TTL_S: f64 = 5.0;
+const DEFAULT_MAX_SYNC_S: f64 = 5.0;
+const DEFAULT_CONFIG_APPLY_MS: u64 = 3000;
 
-/// The desk behind both listeners: a call is read here and decided on by the board.
-struct Calls {
-    inbox: Inbox<Told>,
+/// The handler of both listeners: reads a call and passes it to the control plane.
+struct CallDesk {
+    inbox: Inbox<Message>,
     draining: Arc<AtomicBool>,
 }
 
-impl Desk for Calls {
+impl Desk for CallDesk {
     type Ask = Request;
 
     fn bounds(&self) -> Bounds {
@@ -109,8 +116,9 @@
     }
 
     fn patience(&self) -> Patience {
-        const SOME: Micros = 10_000_000;
-        let (read_us, write_us, once_idle_us, idle_us) = (SOME, SOME, SOME, 3 * SOME);
+        const IO_LIMIT_US: Micros = 10_000_000;
+        let (read_us, write_us, once_idle_us, idle_us) =
+            (IO_LIMIT_US, IO_LIMIT_US, IO_LIMIT_US, 3 * IO_LIMIT_US);
         Patience { first_us: None, read_us, write_us, once_idle_us, idle_us }
     }
 
@@ -126,11 +134,11 @@
 
     fn asked(&self, id: u64, mut ask: Request, body: Held, reply: Reply) {
         ask.body = body.bytes;
-        self.inbox.post(Told::Call(id, ask, reply));
+        self.inbox.post(Message::Call(id, ask, reply));
     }
 
     fn withdrawn(&self, id: u64) {
-        self.inbox.post(Told::CallGone(id));
+        self.inbox.post(Message::CallClosed(id));
     }
 
     fn draining(&self) -> bool {
@@ -138,37 +146,38 @@
     }
 
     fn refusal(&self, bad: &Bad) -> Answer {
-        say(calls::Answer::error(bad.status, bad.what))
+        http_answer(calls::Answer::error(bad.status, bad.what))
     }
 }
 
-fn say(answer: calls::Answer) -> Answer {
+fn http_answer(answer: calls::Answer) -> Answer {
     let headers = b"Content-Type: application/json\r\n".to_vec();
     Answer::new(answer.status, headers, answer.body.into_bytes())
 }
 
-struct Shell {
-    board: Board,
+/// The main loop: turns messages into inputs of the control plane and sends its outputs.
+struct Runner {
+    control_plane: ControlPlane,
     store: ReconnectingLink,
     peers_port: u16,
-    peers: BTreeMap<Ipv4Addr, ReconnectingLink>,
-    taken: BTreeMap<u64, LinkHandle>,
-    proxies: BTreeMap<u64, LinkHandle>,
+    peer_links: BTreeMap<Ipv4Addr, ReconnectingLink>,
+    accepted_peers: BTreeMap<u64, LinkHandle>,
+    proxy_links: BTreeMap<u64, LinkHandle>,
     replies: BTreeMap<u64, Reply>,
-    inbox: Inbox<Told>,
+    inbox: Inbox<Message>,
     out: Vec<Output>,
     draining: Arc<AtomicBool>,
-    over: Sender<()>,
-    ends_at: Option<Micros>,
-    /// The revision of the last step of a rollout that was logged.
-    logged_rollouts: Rev,
+    end: Sender<()>,
+    exit_at: Option<Micros>,
+    /// The revision of the last rollout step that was logged.
+    logged_rollouts_rev: Rev,
 }
 
-impl Shell {
-    /// Logs what rollouts have come to since the last time.
+impl Runner {
+    /// Logs the steps of rollouts since the last call.
     fn log_rollouts(&mut self) {
-        let logged = self.logged_rollouts;
-        for rollout in self.board.copy.state.rollouts.0.values().filter(|r| r.stage_rev > logged) {
+        let logged = self.logged_rollouts_rev;
+        for rollout in self.control_plane.copy.state.rollouts.0.values().filter(|r| r.stage_rev > logged) {
             let (order, stage) = (&rollout.order, rollout.stage.name());
             log::info!(
                 "rollout of {} to {}: {stage}, {}",
@@ -176,113 +185,113 @@
                 order.target_version,
                 rollout.reason
             );
-            self.logged_rollouts = self.logged_rollouts.max(rollout.stage_rev);
+            self.logged_rollouts_rev = self.logged_rollouts_rev.max(rollout.stage_rev);
         }
     }
 
-    fn read(&mut self, now: Micros, told: Told) -> Option<Input> {
-        Some(match told {
-            Told::Call(id, request, reply) => {
+    fn input_from(&mut self, now: Micros, message: Message) -> Option<Input> {
+        Some(match message {
+            Message::Call(id, request, reply) => {
                 self.replies.insert(id, reply);
                 Input::Call(id, request)
             }
-            Told::CallGone(id) => {
+            Message::CallClosed(id) => {
                 self.replies.remove(&id);
-                Input::CallGone(id)
+                Input::CallClosed(id)
             }
-            Told::StoreLink(link, Event::Up) => self.store.on_up(link).then_some(Input::StoreUp)?,
-            Told::StoreLink(link, Event::Down) => {
+            Message::StoreLink(link, Event::Up) => self.store.on_up(link).then_some(Input::StoreUp)?,
+            Message::StoreLink(link, Event::Down) => {
                 self.store.on_down(now, link).then_some(Input::StoreDown)?
             }
-            Told::StoreLink(link, Event::Received(message)) => {
+            Message::StoreLink(link, Event::Received(message)) => {
                 self.store.is_up(link).then_some(Input::Store(message))?
             }
-            Told::PeerLink(ip, link, event) => {
-                let tie = self.peers.get_mut(&ip)?;
+            Message::PeerLink(ip, link, event) => {
+                let peer_link = self.peer_links.get_mut(&ip)?;
                 match event {
-                    Event::Up => tie.on_up(link),
-                    Event::Down => tie.on_down(now, link),
+                    Event::Up => peer_link.on_up(link),
+                    Event::Down => peer_link.on_down(now, link),
                     Event::Received(()) => false,
                 };
                 return None;
             }
-            Told::PeerTaken(line) => {
-                self.taken.insert(line.number, line);
+            Message::PeerAccepted(link) => {
+                self.accepted_peers.insert(link.number, link);
                 return None;
             }
-            Told::PeerSays(_, Event::Received(gossip)) => Input::Peer(gossip),
-            Told::PeerSays(link, Event::Down) => {
-                self.taken.remove(&link);
+            Message::PeerEvent(_, Event::Received(gossip)) => Input::Peer(gossip),
+            Message::PeerEvent(link, Event::Down) => {
+                self.accepted_peers.remove(&link);
                 return None;
             }
-            Told::ProxyTaken(line) => {
-                self.proxies.insert(line.number, line);
+            Message::ProxyAccepted(link) => {
+                self.proxy_links.insert(link.number, link);
                 return None;
             }
-            Told::ProxySays(link, Event::Received(up)) => Input::Proxy(link, up),
-            Told::ProxySays(link, Event::Down) => {
-                self.proxies.remove(&link);
+            Message::ProxyEvent(link, Event::Received(up)) => Input::Proxy(link, up),
+            Message::ProxyEvent(link, Event::Down) => {
+                self.proxy_links.remove(&link);
                 Input::ProxyDown(link)
             }
-            Told::PeerSays(_, Event::Up) | Told::ProxySays(_, Event::Up) => return None,
-            Told::Asked(SignalEvent::Stop) => {
-                log::info!("asked to end");
+            Message::PeerEvent(_, Event::Up) | Message::ProxyEvent(_, Event::Up) => return None,
+            Message::Signal(SignalEvent::Stop) => {
+                log::info!("stop requested");
                 self.draining.store(true, Ordering::Relaxed);
-                self.ends_at.get_or_insert(now + PARTING_US);
+                self.exit_at.get_or_insert(now + DRAIN_US);
                 return None;
             }
-            Told::Asked(SignalEvent::Settings(_)) => return None,
+            Message::Signal(SignalEvent::Settings(_)) => return None,
         })
     }
 }
 
-impl StateMachine for Shell {
-    type Message = Told;
+impl StateMachine for Runner {
+    type Message = Message;
 
-    fn handle(&mut self, now: Micros, told: Option<Told>) {
-        let input = match told {
+    fn handle(&mut self, now: Micros, message: Option<Message>) {
+        let input = match message {
             None => Some(Input::Tick),
-            Some(told) => self.read(now, told),
+            Some(message) => self.input_from(now, message),
         };
         if let Some(input) = input {
             let day = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
-            self.board.tell_day(now, day);
-            self.board.handle(now, input, &mut self.out);
+            self.control_plane.set_time_of_day(now, day);
+            self.control_plane.handle(now, input, &mut self.out);
             self.log_rollouts();
         }
         for output in std::mem::take(&mut self.out) {
             match output {
                 Output::Answer(id, answer) => {
                     if let Some(reply) = self.replies.remove(&id) {
-                        reply.send(say(answer));
+                        reply.send(http_answer(answer));
                     }
                 }
                 Output::Store(message) => self.store.send(&message),
                 Output::Peer(ip, gossip) => {
                     let port = self.peers_port;
-                    let tie =
-                        self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
-                    tie.send(&gossip);
+                    let peer_link =
+                        self.peer_links.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
+                    peer_link.send(&gossip);
                     let inbox = self.inbox.clone();
-                    tie.maintain(now, ACK_TIMEOUT, move |link, event| {
-                        inbox.post(Told::PeerLink(ip, link, event))
+                    peer_link.maintain(now, ACK_TIMEOUT, move |link, event| {
+                        inbox.post(Message::PeerLink(ip, link, event))
                     });
                 }
                 Output::Proxy(link, down) => {
-                    if let Some(line) = self.proxies.get(&link) {
-                        line.send(&down);
+                    if let Some(proxy_link) = self.proxy_links.get(&link) {
+                        proxy_link.send(&down);
                     }
                 }
             }
         }
         let inbox = self.inbox.clone();
-        self.store.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::StoreLink(link, event)));
-        if self.ends_at.is_some_and(|at| now >= at) {
-            let _ = self.over.send(());
+        self.store.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Message::StoreLink(link, event)));
+        if self.exit_at.is_some_and(|at| now >= at) {
+            let _ = self.end.send(());
         }
     }
 
     fn wake_at(&mut self) -> Micros {
-        self.board.wake_at().min(self.store.wake_at()).min(self.ends_at.unwrap_or(Micros::MAX))
+        self.control_plane.wake_at().min(self.store.wake_at()).min(self.exit_at.unwrap_or(Micros::MAX))
     }
 }
--- a/crates/registry/src/rollouts/evidence.rs
+++ b/crates/registry/src/rollouts/evidence.rs
@@ -1,43 +1,46 @@
-//! How strongly what was counted speaks against a new version: a sequential test of two shares that may be looked at as often
-//! as wished.
+//! The strength of the evidence against a new version: a sequential test of two proportions that may be evaluated as
+//! often as wished.
 //!
-//! The share of bad answers of the new version is held against that of the old one over the same time, plus a tolerance. The
-//! ratio of likelihoods is averaged over several larger shares (the mixture of Robbins 1970, as Johari, Pekelis and Walsh 2017
-//! use it for tests that are watched), and summed over all times from which the version may have been bad (Roberts 1966). At
-//! the border of what is tolerated that sum is on average the number of looks, so it exceeds `looks / chance` with at most
-//! this chance, whenever one looks. The old version's share is itself an estimate; it is taken larger by one standard
-//! deviation.
+//! The share of bad answers of the new version is compared with that of the old one over the same time, plus a
+//! tolerance. The likelihood ratio is averaged over several larger shares (the mixture of Robbins 1970, used by
+//! Johari, Pekelis and Walsh 2017 for tests under continuous monitoring) and summed over all times at which the
+//! version may have turned bad (Roberts 1966). If the share is exactly at the tolerance, that sum is on average the
+//! number of evaluations, so it exceeds `evaluations / chance` with at most this chance, whenever one looks. The old
+//! version's share is itself an estimate, so one standard deviation is added to it.
 
 use super::tallies::Interval;
 use cluster::rollout::{Answers, RouteTally};
 use std::collections::BTreeSet;
 
-/// A good version may be reverted with this chance, were its servers alike.
-const FALSE_REVERT: f64 = 0.005;
-/// Differences that are borne: of failures, and of slow answers, as servers of one version differ.
+/// Accepted chance that a good version is reverted, if its servers were all alike.
+const FALSE_REVERT_CHANCE: f64 = 0.005;
+/// Tolerated differences in the shares of failed and of slow answers, because servers of one version differ too.
 const FAILED_TOLERANCE: f64 = 0.03;
 const SLOW_TOLERANCE: f64 = 0.04;
-/// Bad versions are looked for whose share of bad answers is larger by these parts of what remains to all.
-const EXCESSES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
-/// Fewer bad answers than this are no reason to revert, or to wait.
-const MIN_BAD: u32 = 5;
-const MIN_DOUBTFUL: u32 = 3;
-/// Likewise for slow answers, of which a good version has some.
+/// The test looks for versions whose share of bad answers is larger than tolerated by these parts of the remaining
+/// answers.
+const EXCESS_SHARES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
+/// With fewer bad answers a version is not reverted, and with fewer failed ones it is not held back.
+const MIN_BAD_ANSWERS: u32 = 5;
+const MIN_DOUBTFUL_FAILED: u32 = 3;
+/// With fewer slow answers, of which a good version has some too, it is not held back either.
 const MIN_DOUBTFUL_SLOW: u32 = 8;
-/// Evidence that is enough to wait: the likelihoods' ratio over any span of time, and over all of it.
-const DOUBT_ANY: f64 = 20.0;
-const DOUBT_WHOLE: f64 = 0.5;
-/// The old version's share is taken from as long a time as it takes to have so many of its answers.
-const MIN_OLD: u32 = 100;
-/// As many answers of all routes count beside those of a route, so that one that is little used is not without an estimate.
-const PRIOR: f64 = 50.0;
-/// The part of the old version's answers that take longest; answers are slow that take longer than those by so many buckets.
+/// Likelihood ratios that are enough to wait: over any span of time, and over all of it.
+const DOUBT_ANY_SPAN: f64 = 20.0;
+const DOUBT_WHOLE_SPAN: f64 = 0.5;
+/// The old version's share is taken over a span long enough to have this many of its answers.
+const MIN_OLD_ANSWERS: u32 = 100;
+/// On one route, this many answers with the share of all routes are added to the old version's, so that a route with
+/// little traffic has an estimate too.
+const PRIOR_ANSWERS: f64 = 50.0;
+/// An answer is slow if it is more than `SLOW_BUCKETS` buckets above the one that at most this part of the old
+/// version's answers exceeds.
 const SLOW_PART: f64 = 0.25;
 const SLOW_BUCKETS: usize = 2;
-/// Fewer answers of the old version than this say nothing of times.
-const MIN_TIMES: u32 = 40;
+/// With fewer timed answers of the old version, times are not compared.
+const MIN_TIMED_ANSWERS: u32 = 40;
 
-/// What speaks against a version.
+/// The evidence against a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Finding {
     /// Enough to revert.
@@ -47,7 +50,7 @@
     Nothing,
 }
 
-/// A part of a whole, counted.
+/// A count of bad answers (`part`) out of all (`whole`).
 #[derive(Clone, Copy, Default)]
 struct Share {
     part: u32,
@@ -59,30 +62,31 @@
         Share { part: self.part + other.part, whole: self.whole + other.whole }
     }
 
-    /// Smoothed, so that none of few is not taken for never, and larger by its standard deviation.
+    /// The share plus its standard deviation, smoothed so that zero out of a few is not taken as impossible.
     fn upper(self) -> f64 {
         self.upper_beside(0.5, 1.0)
     }
 
-    /// As if so many more had been counted, and so many of them bad.
+    /// The same, as if `whole` more answers had been counted, `part` of them bad.
     fn upper_beside(self, part: f64, whole: f64) -> f64 {
         let whole = f64::from(self.whole) + whole;
         let rate = (f64::from(self.part) + part) / whole;
         rate + (rate * (1.0 - rate) / whole).sqrt()
     }
 
-    /// How much likelier it is under larger shares than under this one, on average over these; as a logarithm.
+    /// The logarithm of the likelihood ratio: how much likelier the counts are under shares larger than `tolerated`,
+    /// averaged over these, than under `tolerated`.
     fn likelihood_ratio(self, tolerated: f64) -> f64 {
         let (bad, good) = (f64::from(self.part), f64::from(self.whole - self.part));
         let of = |excess: f64| {
             let larger = tolerated + (1.0 - tolerated) * excess;
             bad * (larger / tolerated).ln() + good * ((1.0 - larger) / (1.0 - tolerated)).ln()
         };
-        log_sum(EXCESSES.map(of)) - (EXCESSES.len() as f64).ln()
+        log_sum(EXCESS_SHARES.map(of)) - (EXCESS_SHARES.len() as f64).ln()
     }
 }
 
-/// The logarithm of a sum of numbers that are given by their logarithms.
+/// The logarithm of a sum of numbers given by their logarithms.
 fn log_sum(logs: impl IntoIterator<Item = f64> + Clone) -> f64 {
     let most = logs.clone().into_iter().fold(f64::NEG_INFINITY, f64::max);
     if most == f64::NEG_INFINITY {
@@ -91,7 +95,8 @@
     most + logs.into_iter().map(|l| (l - most).exp()).sum::<f64>().ln()
 }
 
-/// The two versions' shares of one kind of bad answer, for each span of time from some interval until now, the shortest first.
+/// Both versions' shares of one kind of bad answer, for each span of time from some interval until now, the shortest
+/// first.
 struct Spans {
     old: Vec<Share>,
     new: Vec<Share>,
@@ -110,50 +115,50 @@
         spans
     }
 
-    /// What of the old version is to be reckoned with over a span.
+    /// The old version's share to compare with for a span.
     fn old(&self, span: usize) -> Share {
-        let enough = self.old[span..].iter().find(|o| o.whole >= MIN_OLD).or(self.old.last());
+        let enough = self.old[span..].iter().find(|o| o.whole >= MIN_OLD_ANSWERS).or(self.old.last());
         enough.copied().unwrap_or_default()
     }
 }
 
-/// What a version's shares are held against.
-struct Trial<'s> {
+/// One comparison of the two versions.
+struct Comparison<'s> {
     spans: &'s Spans,
-    /// Those of all routes, where these are of one.
+    /// The shares over all routes, if `spans` are of a single route.
     all: Option<&'s Spans>,
     tolerance: f64,
     min_doubtful: u32,
     what: &'static str,
 }
 
-impl<'s> Trial<'s> {
-    fn failing(spans: &'s Spans, all: Option<&'s Spans>) -> Trial<'s> {
-        let (tolerance, min_doubtful) = (FAILED_TOLERANCE, MIN_DOUBTFUL);
-        Trial { spans, all, tolerance, min_doubtful, what: "failed" }
+impl<'s> Comparison<'s> {
+    fn failed(spans: &'s Spans, all: Option<&'s Spans>) -> Comparison<'s> {
+        let (tolerance, min_doubtful) = (FAILED_TOLERANCE, MIN_DOUBTFUL_FAILED);
+        Comparison { spans, all, tolerance, min_doubtful, what: "failed" }
     }
 
-    fn slow(spans: &'s Spans) -> Trial<'s> {
+    fn slow(spans: &'s Spans) -> Comparison<'s> {
         let (tolerance, min_doubtful) = (SLOW_TOLERANCE, MIN_DOUBTFUL_SLOW);
-        Trial { spans, all: None, tolerance, min_doubtful, what: "were slow" }
+        Comparison { spans, all: None, tolerance, min_doubtful, what: "were slow" }
     }
 
-    /// The largest share that is borne over a span.
+    /// The largest share of bad answers that is tolerated over a span.
     fn tolerated(&self, span: usize) -> f64 {
         let old = self.spans.old(span);
         let expected = match self.all.map(|all| all.old(span).upper()) {
-            Some(all) => all.max(old.upper_beside(PRIOR * all, PRIOR)),
+            Some(all) => all.max(old.upper_beside(PRIOR_ANSWERS * all, PRIOR_ANSWERS)),
             None => old.upper(),
         };
         (expected + self.tolerance).min(0.99)
     }
 }
 
-/// What was counted of a rollout, and how often it is looked at.
+/// What was counted of a rollout, and how often it is evaluated.
 pub(super) struct Evidence<'a> {
     pub(super) intervals: &'a [Interval],
-    pub(super) looks: f64,
-    /// Differences that are borne besides the usual ones.
+    pub(super) evaluations: f64,
+    /// Tolerated differences in addition to the usual ones.
     pub(super) extra_tolerance: f64,
 }
 
@@ -161,17 +166,17 @@
     pub(super) fn finding(&self) -> Finding {
         let routes: BTreeSet<u32> = self.intervals.iter().flat_map(|i| i.routes.keys().copied()).collect();
         let tests = 1.0 + 2.0 * routes.len() as f64;
-        let bar = (self.looks.max(1.0) * tests / FALSE_REVERT).ln();
+        let threshold = (self.evaluations.max(1.0) * tests / FALSE_REVERT_CHANCE).ln();
         let failures = |r: &RouteTally| (failed(&r.old), failed(&r.new));
         let all = Spans::of(self.intervals, |i| sum(i.routes.values().map(failures)));
-        let mut findings = vec![self.judge(Trial::failing(&all, None), bar)];
+        let mut findings = vec![self.evaluate(Comparison::failed(&all, None), threshold)];
         for route in routes {
             let on_route = |i: &Interval| i.routes.get(&route).map(failures).unwrap_or_default();
             let spans = Spans::of(self.intervals, on_route);
-            findings.push(self.judge(Trial::failing(&spans, Some(&all)), bar));
-            // Times of several routes are not alike, so these are compared route by route alone.
+            findings.push(self.evaluate(Comparison::failed(&spans, Some(&all)), threshold));
+            // Routes differ in their response times, so times are compared only route by route.
             if let Some(spans) = self.slow_spans(route) {
-                findings.push(self.judge(Trial::slow(&spans), bar));
+                findings.push(self.evaluate(Comparison::slow(&spans), threshold));
             }
         }
         let bad = findings.iter().position(|f| matches!(f, Finding::Bad(_)));
@@ -179,8 +184,11 @@
         worst.map_or(Finding::Nothing, |n| findings.swap_remove(n))
     }
 
-    fn judge(&self, trial: Trial, bar: f64) -> Finding {
-        judge(&Trial { tolerance: trial.tolerance + self.extra_tolerance, ..trial }, bar)
+    fn evaluate(&self, comparison: Comparison, threshold: f64) -> Finding {
+        evaluate(
+            &Comparison { tolerance: comparison.tolerance + self.extra_tolerance, ..comparison },
+            threshold,
+        )
     }
 
     fn slow_spans(&self, route: u32) -> Option<Spans> {
@@ -203,10 +211,10 @@
     shares.fold(Default::default(), |(old, new): (Share, Share), (o, n)| (old.plus(o), new.plus(n)))
 }
 
-/// The bucket from which on an answer is slow: beyond all but the slowest of the old version.
+/// The bucket from which on an answer is slow, derived from the old version's times.
 fn slow_from(old: &[u32]) -> Option<usize> {
     let whole: u32 = old.iter().sum();
-    if whole < MIN_TIMES {
+    if whole < MIN_TIMED_ANSWERS {
         return None;
     }
     let most = (f64::from(whole) * SLOW_PART) as u32;
@@ -218,30 +226,30 @@
     from.map(|n| n + 1 + SLOW_BUCKETS)
 }
 
-fn judge(trial: &Trial, bar: f64) -> Finding {
-    let spans = trial.spans;
+fn evaluate(comparison: &Comparison, threshold: f64) -> Finding {
+    let spans = comparison.spans;
     let mut ratios: Vec<(f64, usize)> = Vec::new();
     for (span, new) in spans.new.iter().enumerate().filter(|(_, new)| new.part > 0) {
-        let tolerated = trial.tolerated(span);
-        // What is no larger than what is borne adds nothing to speak of.
+        let tolerated = comparison.tolerated(span);
+        // A share within the tolerance adds next to nothing.
         if f64::from(new.part) > tolerated * f64::from(new.whole) {
             ratios.push((new.likelihood_ratio(tolerated), span));
         }
     }
-    let Some(&(most, span)) = ratios.iter().max_by(|a, b| a.0.total_cmp(&b.0)) else {
+    let Some(&(strongest, span)) = ratios.iter().max_by(|a, b| a.0.total_cmp(&b.0)) else {
         return Finding::Nothing;
     };
     let (new, old) = (spans.new[span], spans.old[span]);
     let reason = || {
-        let (part, whole, what) = (new.part, new.whole, trial.what);
+        let (part, whole, what) = (new.part, new.whole, comparison.what);
         format!("{part} of {whole} answers {what}, of the old version's {} of {}", old.part, old.whole)
     };
     let sum = log_sum(ratios.iter().map(|(ratio, _)| *ratio));
-    if sum >= bar && new.part >= MIN_BAD {
+    if sum >= threshold && new.part >= MIN_BAD_ANSWERS {
         return Finding::Bad(reason());
     }
-    let whole = ratios.iter().any(|(r, s)| *s + 1 == spans.new.len() && *r >= DOUBT_WHOLE.ln());
-    if new.part >= trial.min_doubtful && (most >= DOUBT_ANY.ln() || whole) {
+    let whole = ratios.iter().any(|(r, s)| *s + 1 == spans.new.len() && *r >= DOUBT_WHOLE_SPAN.ln());
+    if new.part >= comparison.min_doubtful && (strongest >= DOUBT_ANY_SPAN.ln() || whole) {
         return Finding::Doubtful(reason());
     }
     Finding::Nothing
--- a/crates/registry/tests/outward_names.rs
+++ b/crates/registry/tests/outward_names.rs
@@ -10,8 +10,8 @@
 use cluster::talk::{FromStore, Gossip, Up};
 use common::*;
 use jzon::JsonValue;
-use registry::board::Input;
 use registry::bookings;
+use registry::control_plane::Input;
 use settings::drill::Drill;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -78,10 +78,10 @@
 /// Calls a registry, which reads up to where its store has come if it must.
 fn call(r: &mut Registry, method: &str, target: &str, body: &str, status: u16) -> JsonValue {
     let call = r.call(method, target, None, body);
-    r.land();
+    r.commit_proposed();
     let rev = r.store.rev();
     for ticket in std::mem::take(&mut r.reads) {
-        r.tell(Input::Store(FromStore::Reads { ticket, result: Ok(rev) }));
+        r.handle(Input::Store(FromStore::Reads { ticket, result: Ok(rev) }));
     }
     let (found, text) = r.answers[&call].clone();
     assert_eq!(found, status, "{method} {target}: {text}");
@@ -90,20 +90,20 @@
 
 fn registry() -> Registry {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
-    let up = |id, last| server(id, &format!("10.9.2.{last}:80"));
+    let up = |id, last| add_server(id, &format!("10.9.2.{last}:80"));
     let draining = Command::Servers(vec![ServerChange::Draining { id: "s2".into() }]);
     let evacuate = Command::Evacuate { zone: "south-b".into(), on: true };
     let commands = vec![
         Command::Configure(change),
-        nodes(&[(1, "north-a"), (2, "north-b")]),
+        add_nodes(&[(1, "north-a"), (2, "north-b")]),
         up("s1", 1),
         up("s2", 2),
         draining,
         evacuate,
     ];
     let mut r = Registry::new(commands);
-    r.stands(true, true);
-    r.tell(Input::Proxy(5, Up::Hello { node: node(1, "north-a"), rev: 0 }));
+    r.set_store_standing(true, true);
+    r.handle(Input::Proxy(5, Up::Hello { node: node(1, "north-a"), rev: 0 }));
     r
 }
 
@@ -126,19 +126,19 @@
         "fault":{"fault_kind":"lost"},"count":2,"duration_ms":9000,"asked_by":"a","reason":"b"}"#;
     call(&mut r, "PUT", "/api/drills/x?dry_run=true", body, 200);
     let drill = Drill::read("x", body.as_bytes()).expect("a drill");
-    let (epoch, _) = r.lands(Command::Drill(DrillChange::Start(Box::new(drill))));
+    let (epoch, _) = r.commit(Command::Drill(DrillChange::Start(Box::new(drill))));
     let said = vec![
         Said::Ask("try-1".into()),
         Said::Ask("try-2".into()),
         Said::Met { attempt: String::new(), grant: Some(1) },
     ];
     let rows = Rows { epoch, ip: node(1, "north-a").ip, life: 3, first: 1, said };
-    r.lands(Command::Drill(DrillChange::Rows(vec![rows])));
+    r.commit(Command::Drill(DrillChange::Rows(vec![rows])));
     let running = call(&mut r, "GET", "/api/drills/x", "", 200);
     assert!(["met", "granted", "running"].iter().all(|s| states(&running).contains(*s)), "{running}");
     assert!(!running["node_list"].is_empty(), "{running}");
     let stop = DrillChange::Stop { name: "x".into(), epoch: None, why: "seen enough".into() };
-    r.lands(Command::Drill(stop));
+    r.commit(Command::Drill(stop));
     let ended = call(&mut r, "GET", "/api/drills", "", 200);
     assert_eq!(ended["drill_list"][0]["drill_state"], "ended");
 }
@@ -148,20 +148,20 @@
     let mut r = registry();
     let order = r#"{"service_ref":"heron","target_version":"v2","rollout_term_s":10}"#;
     call(&mut r, "POST", "/api/rollouts", order, 200);
-    let epoch = r.board.copy.state.rollouts.0["heron"].epoch;
+    let epoch = r.control_plane.copy.state.rollouts.0["heron"].epoch;
     let answers = || {
         let mut answers = Answers { ended: 400, failed: 1, times: Vec::new() };
         (0..399).for_each(|_| answers.took(200_000));
         answers
     };
     let route = cluster::rollout::RouteTally { route: 7, old: answers(), new: answers() };
-    let (ip, rev) = (node(1, "north-a").ip, r.board.copy.rev());
+    let (ip, rev) = (node(1, "north-a").ip, r.control_plane.copy.rev());
     let tally = Tally { ip, life: 1, count: 1, epoch, rev, old_out: 3, routes: vec![route] };
-    r.tell(Input::Proxy(5, Up::Rollout(vec![tally])));
+    r.handle(Input::Proxy(5, Up::Rollout(vec![tally])));
     let shown = call(&mut r, "GET", "/api/rollouts/heron", "", 200);
     assert!(!shown["old_side"]["median_ms"].is_null(), "{shown}");
     for to in [Stage::Partial, Stage::Whole, Stage::Completed, Stage::Reverted] {
-        let rollout = r.board.copy.state.rollouts.0.get_mut("heron").expect("a rollout");
+        let rollout = r.control_plane.copy.state.rollouts.0.get_mut("heron").expect("a rollout");
         rollout.stage = to;
         let shown = call(&mut r, "GET", "/api/rollouts/heron", "", 200);
         assert_eq!(shown["stage"], to.name());
@@ -198,14 +198,14 @@
             passed_ms: 0,
             noted_at: 0,
         };
-        told("a booking", &bookings::show(&booked).dump());
+        told("a booking", &bookings::booking_view(&booked).dump());
     }
-    told("a full service", &bookings::full("no room", 3).body);
+    told("a full service", &bookings::no_room_answer("no room", 3).body);
     let mut r = registry();
     let day_ms = 1_700_000_000_000;
-    r.board.tell_day(r.now, day_ms);
+    r.control_plane.set_time_of_day(r.now, day_ms);
     let put = cluster::booking::BookChange::Put { booking: booking(Unused::Lend), base: 0, room: 9 };
-    r.lands(Command::Book(put));
+    r.commit(Command::Book(put));
     let shown = call(&mut r, "GET", "/api/bookings/launch", "", 200);
     assert!(!shown["holder_list"].is_empty(), "{shown}");
     call(&mut r, "GET", "/api/bookings", "", 200);
@@ -234,15 +234,25 @@
     let (servers, nodes, usage, heads) = Default::default();
     let (zone, leases, tallies) = ("south-a".into(), Vec::new(), Vec::new());
     let day_ms = Some(day_ms);
-    r.tell(Input::Peer(Gossip { ip: OTHER, zone, servers, nodes, usage, heads, day_ms, leases, tallies }));
+    r.handle(Input::Peer(Gossip {
+        ip: PEER_IP,
+        zone,
+        servers,
+        nodes,
+        usage,
+        heads,
+        day_ms,
+        leases,
+        tallies,
+    }));
 }
 
 #[test]
 fn the_names_in_the_answer_to_a_booking_that_is_only_tried_are_listed() {
     let mut r = registry();
-    r.lands(servers_of_two_zones());
+    r.commit(servers_of_two_zones());
     let day_ms = 1_700_000_000_000;
-    r.board.tell_day(r.now, day_ms);
+    r.control_plane.set_time_of_day(r.now, day_ms);
     other_tells_day(&mut r, day_ms);
     let body = format!(
         r#"{{"route_refs":["get"],"service_ref":"heron","opens_ms":{},"closes_ms":{},"flight_count":1}}"#,
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -17,7 +17,7 @@
 use proxy::feed::{self, Feed};
 use proxy::reservations::{BookingTimes, ReservationStatus};
 use proxy::routing_view::{Leeway, ProxySettings};
-use registry::board::{self, Board, Terms};
+use registry::control_plane::{self, ControlPlane, Parameters};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -98,7 +98,7 @@
 }
 
 pub struct Registry {
-    board: Board,
+    control_plane: ControlPlane,
     store: Tie,
     peers: BTreeMap<Ipv4Addr, Tie>,
     calls: BTreeSet<ConnId>,
@@ -171,7 +171,7 @@
             Owner::Registry(n) => {
                 let due = self.registries[n].as_ref().is_some_and(|p| p.wake <= self.now);
                 if due {
-                    self.registry(n, Some(board::Input::Tick));
+                    self.registry(n, Some(control_plane::Input::Tick));
                 }
             }
             Owner::Proxy(n) => {
@@ -216,20 +216,21 @@
                 self.store(n, Some(chest::Input::Settings { size, seeds }));
             }
             Owner::Registry(n) => {
-                let terms = Terms {
-                    me: ip,
-                    zone: zone.0,
+                let parameters = Parameters {
+                    own_ip: ip,
+                    own_zone: zone.0,
                     zones,
-                    beat_us: BEAT,
-                    ttl_s: self.record.bounds.ttl_s,
-                    sync_us: self.record.bounds.sync,
-                    settle_us: self.record.bounds.config_apply,
-                    zones_lost: 1,
-                    repeat_us: registry::board::REPEAT_US,
+                    heartbeat_us: BEAT,
+                    directory_ttl_s: self.record.bounds.ttl_s,
+                    max_sync_us: self.record.bounds.sync,
+                    propagation_us: self.record.bounds.config_apply,
+                    tolerated_zone_losses: 1,
+                    order_repeat_us: registry::control_plane::DEFAULT_ORDER_REPEAT_US,
                 };
-                let board = Board::new(terms, 0);
+                let control_plane = ControlPlane::new(parameters, 0);
                 let (store, peers, calls) = Default::default();
-                self.registries[n] = Some(Process::new(life, now, Registry { board, store, peers, calls }));
+                self.registries[n] =
+                    Some(Process::new(life, now, Registry { control_plane, store, peers, calls }));
                 self.registry(n, None);
             }
             Owner::Proxy(n) => {
@@ -474,27 +475,29 @@
         let r = &mut p.machine;
         let input = match event {
             Event::Taken(_) => None,
-            Event::Up if kind == Some(Kind::Local) => r.store.rose(conn).then_some(board::Input::StoreUp),
+            Event::Up if kind == Some(Kind::Local) => {
+                r.store.rose(conn).then_some(control_plane::Input::StoreUp)
+            }
             Event::Up => {
                 r.peers.values_mut().any(|t| t.rose(conn));
                 None
             }
             Event::Got(Body::Call(request)) => {
                 r.calls.insert(conn);
-                Some(board::Input::Call(conn, (*request).clone()))
+                Some(control_plane::Input::Call(conn, (*request).clone()))
             }
             Event::Got(body) => match kind {
                 Some(Kind::Local) if r.store.up && r.store.conn == Some(conn) => {
-                    read::<FromStore>(&body).map(board::Input::Store)
+                    read::<FromStore>(&body).map(control_plane::Input::Store)
                 }
-                Some(Kind::Gossip) => read::<Gossip>(&body).map(board::Input::Peer),
-                Some(Kind::News) => read::<Up>(&body).map(|up| board::Input::Proxy(conn, up)),
+                Some(Kind::Gossip) => read::<Gossip>(&body).map(control_plane::Input::Peer),
+                Some(Kind::News) => read::<Up>(&body).map(|up| control_plane::Input::Proxy(conn, up)),
                 _ => None,
             },
             Event::Down => match kind {
-                Some(Kind::Local) => r.store.fell(clock, conn).then_some(board::Input::StoreDown),
-                Some(Kind::News) => Some(board::Input::ProxyDown(conn)),
-                Some(Kind::Call) => r.calls.remove(&conn).then_some(board::Input::CallGone(conn)),
+                Some(Kind::Local) => r.store.fell(clock, conn).then_some(control_plane::Input::StoreDown),
+                Some(Kind::News) => Some(control_plane::Input::ProxyDown(conn)),
+                Some(Kind::Call) => r.calls.remove(&conn).then_some(control_plane::Input::CallClosed(conn)),
                 _ => {
                     r.peers.values_mut().for_each(|t| {
                         t.fell(clock, conn);
@@ -506,31 +509,31 @@
         self.registry(n, input);
     }
 
-    fn registry(&mut self, n: usize, input: Option<board::Input>) {
+    fn registry(&mut self, n: usize, input: Option<control_plane::Input>) {
         let Some(mut p) = self.registries[n].take() else { return };
         let me = Owner::Registry(n);
         self.at_work = Some((me, p.life));
         let now = p.clock(self.now);
         let mut out = Vec::new();
         let day_ms = DAY_MS.saturating_add_signed(self.hosts[n].ahead) + self.now / MS;
-        p.machine.board.tell_day(now, day_ms);
+        p.machine.control_plane.set_time_of_day(now, day_ms);
         if let Some(input) = input {
-            p.machine.board.handle(now, input, &mut out);
+            p.machine.control_plane.handle(now, input, &mut out);
         }
         let r = &mut p.machine;
         for output in out {
             match output {
-                board::Output::Answer(id, answer) => {
+                control_plane::Output::Answer(id, answer) => {
                     if r.calls.remove(&id) {
                         self.send(id, me, Body::Called(Rc::new(answer)));
                     }
                 }
-                board::Output::Store(message) => {
+                control_plane::Output::Store(message) => {
                     if let Some(conn) = r.store.conn.filter(|_| r.store.up) {
                         self.send(conn, me, frame(&message));
                     }
                 }
-                board::Output::Peer(ip, gossip) => {
+                control_plane::Output::Peer(ip, gossip) => {
                     let tie = r.peers.entry(ip).or_default();
                     if let Some(conn) = tie.conn.filter(|_| tie.up) {
                         self.send(conn, me, frame(&gossip));
@@ -543,14 +546,14 @@
                         tie.conn = Some(self.dial(Kind::Gossip, me, Owner::Registry(to)));
                     }
                 }
-                board::Output::Proxy(link, down) => self.send(link, me, frame(&down)),
+                control_plane::Output::Proxy(link, down) => self.send(link, me, frame(&down)),
             }
         }
         if r.store.conn.is_none() && now >= r.store.again_at {
             r.store.again_at = now + AGAIN;
             r.store.conn = Some(self.dial(Kind::Local, me, Owner::Store(n)));
         }
-        let wake = r.board.wake_at().min(r.store.wake_at()).min(p.ends_at.unwrap_or(Micros::MAX));
+        let wake = r.control_plane.wake_at().min(r.store.wake_at()).min(p.ends_at.unwrap_or(Micros::MAX));
         let over = p.ends_at.is_some_and(|at| now >= at);
         self.wake(me, &mut p, wake);
         self.registries[n] = Some(p);
