--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -6,7 +6,7 @@
 use net::clock::{Alarms, Clock};
 use net::limits::Side;
 use net::mailbox::{Bell, Mailbox};
-use net::room::Room;
+use net::resources::Room;
 use slog::Logger;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -12,8 +12,8 @@
 pub mod limits;
 pub mod mailbox;
 pub mod pool;
+pub mod resources;
 pub mod ring;
-pub mod room;
 pub mod socket;
 pub mod timeouts;
 
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -13,7 +13,7 @@
 use crate::http::{self, Bounds};
 use crate::limits::{Held, Side};
 use crate::mailbox::Mailbox;
-use crate::room::Room;
+use crate::resources::Room;
 use crate::socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use std::collections::{HashMap, VecDeque};
--- a/crates/net/src/pool/connection.rs
+++ b/crates/net/src/pool/connection.rs
@@ -5,7 +5,7 @@
 use crate::errors::Cause;
 use crate::limits::Fd;
 use crate::mailbox::Mailbox;
-use crate::room::Room;
+use crate::resources::Room;
 use crate::socket::{Watched, events};
 use may::sync::mpsc::Sender;
 use std::net::TcpStream;
--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -9,7 +9,7 @@
 use net::limits::Held;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
-use net::room::Room;
+use net::resources::Room;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -9,7 +9,7 @@
 use net::http::{self, Bad, Bounds};
 use net::limits::{Fd, Held, Side};
 use net::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
-use net::room::Room;
+use net::resources::Room;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, RawFd};
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -9,7 +9,7 @@
 use net::http::{self, Bad, Bounds};
 use net::limits::Held;
 use net::pool::{self, Job, Peer};
-use net::room::Room;
+use net::resources::Room;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached};
 use proxy::reservations::BookingTimes;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -11,7 +11,7 @@
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
 use net::mailbox::Mailbox;
-use net::room::Room;
+use net::resources::Room;
 use serde::de::DeserializeOwned;
 use settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
