--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -4,9 +4,9 @@
 use crate::request;
 use crate::shared::Shared;
 use net::Micros;
-use net::door::{Answer, Desk, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds, Framing};
 use net::limits::Held;
+use net::listener::{Answer, Desk, Heard, Patience, Reply};
 use net::pool::Passage;
 use std::sync::Arc;
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -17,7 +17,7 @@
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
 use net::clock::{Alarm, Alarms, Clock};
-use net::door::Door;
+use net::listener::Door;
 use shared::Shared;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -4,8 +4,8 @@
 
 use curlewfront::{Micros, Outcome};
 use curlewfront_config::Members;
-use net::door::{Answer, Reply};
 use net::errors::AttemptError;
+use net::listener::{Answer, Reply};
 use net::pool::Passage;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -7,7 +7,7 @@
 use curlewfront::Micros;
 use curlewfront_config::Config;
 use net::clock::Alarm;
-use net::door::Door;
+use net::listener::Door;
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
 use std::io;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,15 +1,15 @@
 //! The network half of a program that stands between clients and servers, without any decision: a listener
-//! and its clients' connections (`door`), a server's connections (`pool`), and the parts that both are made
-//! of. What is read out of a message and what is answered is the program's: it gives a `door::Desk` and a
+//! and its clients' connections (`listener`), a server's connections (`pool`), and the parts that both are made
+//! of. What is read out of a message and what is answered is the program's: it gives a `listener::Desk` and a
 //! `pool::Wire`.
 //!
 //! All of it runs on one thread of coroutines; any thread may post to its actors.
 
 pub mod clock;
-pub mod door;
 pub mod errors;
 pub mod http;
 pub mod limits;
+pub mod listener;
 pub mod mailbox;
 pub mod pool;
 pub mod resources;
--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -3,10 +3,10 @@
 
 use net::Micros;
 use net::clock::{Alarms, Clock};
-use net::door::{self, Answer, Desk, Door, Patience, Reply};
 use net::errors::{Cause, Progress};
 use net::http::{self, Bad, Body, Bounds, NO_HEADERS};
 use net::limits::Held;
+use net::listener::{self, Answer, Desk, Door, Patience, Reply};
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
 use net::resources::Room;
@@ -405,8 +405,8 @@
         Patience { first_us: None, read_us: 300_000, write_us: us, once_idle_us: us, idle_us: us }
     }
 
-    fn head(&self, head: &http::Request) -> Result<door::Heard<String>, Bad> {
-        Ok(door::Heard::Take(format!("{} {}", head.method, head.target)))
+    fn head(&self, head: &http::Request) -> Result<listener::Heard<String>, Bad> {
+        Ok(listener::Heard::Take(format!("{} {}", head.method, head.target)))
     }
 
     fn asked(&self, _: u64, ask: String, body: Held, reply: Reply) {
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -4,10 +4,10 @@
 use may::io::CoIo;
 use net::Micros;
 use net::clock::{Alarms, Clock};
-use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::errors::Progress;
 use net::http::{self, Bad, Bounds};
 use net::limits::{Fd, Held, Side};
+use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
 use net::resources::Room;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
