--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::shared::Shared;
 use net::Micros;
 use net::http::{self, Bad, Bounds, Framing};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::listener::{Answer, Desk, Heard, Patience, Reply};
 use net::pool::Passage;
 use std::sync::Arc;
@@ -67,7 +67,7 @@
         }))
     }
 
-    fn asked(&self, id: u64, mut request: Box<ClientRequest>, body: Held, reply: Reply) {
+    fn asked(&self, id: u64, mut request: Box<ClientRequest>, body: BufferedBody, reply: Reply) {
         // Up to here `until` is the time allowed, which counts from the last byte of the request.
         request.until += self.0.room.clock.now();
         request.id = id;
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -9,7 +9,7 @@
 use curlewfront_config::Members;
 use net::clock::Alarm;
 use net::errors::AttemptError;
-use net::limits::Side;
+use net::limits::ConnectionKind;
 use net::listener::{Answer, Reply};
 use net::pool::{Job, Passage, Peer};
 use net::timeouts::Timeouts;
@@ -514,14 +514,15 @@
             let error = self.last_error.take().map_or_else(|| "none".to_string(), |e| e.to_string());
             slog::info!(self.shared.log, "last 10 s";
                 "asked" => c.requests, "served" => c.served, "refused" => c.refused, "failed" => c.failed,
-                "rejected" => c.rejected, "no_room" => self.shared.room.no_room.swap(0, Ordering::Relaxed),
+                "rejected" => c.rejected,
+                "no_room" => self.shared.room.refused_without_descriptors.swap(0, Ordering::Relaxed),
                 "withdrawn" => c.withdrawn, "sent" => c.sent,
                 "ok,error,full,timeout,connect,reset,cancelled,moot,rejected" => ?c.outcomes,
                 "open" => self.open.len(), "out" => self.attempts_in_flight(),
                 "carried" => self.shared.attempts_in_pools.load(Ordering::Relaxed),
                 "target" => format!("{:.1}", self.decider.target()), "batches" => c.batches, "events" => c.events,
-                "timer_late_us" => c.timer_late_us, "client_conns" => self.shared.room.fds.open(Side::Clients),
-                "server_conns" => self.shared.room.fds.open(Side::Servers), "last_error" => error);
+                "timer_late_us" => c.timer_late_us, "client_conns" => self.shared.room.fds.open(ConnectionKind::Client),
+                "server_conns" => self.shared.room.fds.open(ConnectionKind::Server), "last_error" => error);
         }
         self.report_at = self.now + REPORT_US;
     }
@@ -531,7 +532,7 @@
 mod tests {
     use super::*;
     use crate::shared::tests::shared;
-    use net::limits::Held;
+    use net::limits::BufferedBody;
     use std::sync::mpsc::{Sender, channel};
 
     fn actor() -> DecisionActor {
@@ -541,7 +542,7 @@
     }
 
     fn send_request(actor: &mut DecisionActor, id: u64, client: &Sender<(u64, Answer)>) {
-        let passage = Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: Held::default() };
+        let passage = Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() };
         let until = actor.shared.room.clock.now() + 1_500_000;
         let (units, spread, first, repeat) = (1.0, 1, 0, false);
         let client = client.clone();
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -39,7 +39,7 @@
         // has heard of them counts as known from the start.
         let mut wait = 0;
         loop {
-            shared.discovery.rehang(alarm.bell());
+            shared.discovery.set_waker(alarm.waker());
             alarm.sleep_while(wait, || shared.discovery.is_empty());
             if let Some(new_host) = std::iter::from_fn(|| shared.discovery.pop()).last() {
                 // Another discovery may number its versions differently, so the whole list is requested again. The
@@ -70,7 +70,7 @@
 /// Runs one watch until it ends. Updates `version` to that of the last list, and counts the lines received.
 fn watch(shared: &Arc<Shared>, host: SocketAddr, version: &mut u64, lines: &mut u64) -> io::Result<()> {
     let io = connect(host, None)?;
-    shared.discovery.rehang(io.bell());
+    shared.discovery.set_waker(io.waker());
     let mut deadline =
         Deadline { shared, io: &io, until: shared.room.clock.now() + CONNECT_US, wake_at: None };
     let mut seen = 0;
@@ -132,8 +132,8 @@
         if self.wake_at.is_none_or(|at| at <= now) {
             let at = self.until + 1000;
             self.wake_at = Some(at);
-            let bell = self.io.bell();
-            self.shared.room.alarms.after(at - now, move || bell.ring());
+            let waker = self.io.waker();
+            self.shared.room.alarms.after(at - now, move || waker.wake());
         }
         Ok(())
     }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -76,7 +76,7 @@
     let alarms = Alarms::start(clock).map_err(|e| cannot("set up timers", e))?;
     let alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
     let discovery_alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
-    let mut shared = Shared::new(config, clock, alarms, log, alarm.bell(), discovery_alarm.bell());
+    let mut shared = Shared::new(config, clock, alarms, log, alarm.waker(), discovery_alarm.waker());
     shared.fleet.clone_from(&fleet);
     let shared = Arc::new(shared);
     let listen = shared.config.listen;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use curlewfront::{Micros, Plan};
 use net::http::{self, Bad};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::pool::Passage;
 
 /// Checks the head of a request and reads its headers. `until` of the result is still a duration: the time allowed,
@@ -45,7 +45,7 @@
         passed_on.extend_from_slice(part.as_bytes());
     }
     http::pass_on(head.headers, &["Request-Timeout"], &mut passed_on);
-    let passage = Passage { head: passed_on, body: Held::default() };
+    let passage = Passage { head: passed_on, body: BufferedBody::default() };
     Ok(ClientRequest {
         id: 0,
         name,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,9 +4,9 @@
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
 use net::clock::{Alarms, Clock};
-use net::limits::Side;
-use net::mailbox::{Bell, Mailbox};
-use net::resources::Room;
+use net::limits::ConnectionKind;
+use net::mailbox::{Mailbox, Waker};
+use net::resources::Resources;
 use slog::Logger;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 pub struct Shared {
     pub config: Config,
-    pub room: Arc<Room>,
+    pub room: Arc<Resources>,
     pub log: Logger,
     /// Mailbox of the decision actor.
     pub decisions: Arc<Mailbox<DecisionMessage>>,
@@ -60,13 +60,13 @@
         clock: Clock,
         alarms: Alarms,
         log: Logger,
-        decisions: Bell,
-        discovery: Bell,
+        decisions: Waker,
+        discovery: Waker,
     ) -> Shared {
         let warnings = log.clone();
         let warn = Box::new(move |message: std::fmt::Arguments| slog::warn!(warnings, "{message}"));
         Shared {
-            room: Arc::new(Room::new(config.sockets, config.memory_mb, clock, alarms, warn)),
+            room: Arc::new(Resources::new(config.sockets, config.memory_mb, clock, alarms, warn)),
             attempts_in_pools: Arc::default(),
             decisions: Arc::new(Mailbox::new(decisions)),
             discovery: Arc::new(Mailbox::new(discovery)),
@@ -86,8 +86,8 @@
             "out": self.published.in_flight.load(Ordering::Relaxed),
             "open": self.published.open_requests.load(Ordering::Relaxed),
             "carried": self.attempts_in_pools.load(Ordering::Relaxed),
-            "client_conns": self.room.fds.open(Side::Clients),
-            "server_conns": self.room.fds.open(Side::Servers),
+            "client_conns": self.room.fds.open(ConnectionKind::Client),
+            "server_conns": self.room.fds.open(ConnectionKind::Server),
         });
         if let Some(fleet) = &self.fleet {
             stats["fleet"] = fleet.stats();
@@ -120,6 +120,6 @@
         let alarm = Alarm::new(clock).expect("a timer");
         let alarms = Alarms::start(clock).expect("a timer");
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        Arc::new(Shared::new(config, clock, alarms, log, alarm.bell(), alarm.bell()))
+        Arc::new(Shared::new(config, clock, alarms, log, alarm.waker(), alarm.waker()))
     }
 }
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -1,37 +1,38 @@
-//! How an attempt failed, as a value that carries how far it had come.
+//! The error of a failed attempt, with the progress the attempt had made.
 
 use std::fmt;
 use std::io;
 
-/// How far an attempt had come.
+/// How far an attempt had come when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
     /// No connection yet.
     Dialing,
-    /// Connected; the last byte of the request's head is not written.
+    /// Connected; the request's head is not completely written.
     Writing,
-    /// The head is written whole, which is enough for a server to act on it; its answer has not begun.
+    /// The head is completely written, which is enough for a server to act on it; its answer has not begun.
     Written,
     /// An answer has begun.
     Answering,
 }
 
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum Cause {
     Io(io::Error),
-    /// The other side ended the connection.
+    /// The server closed the connection.
     Ended,
-    /// What came is no HTTP answer, or too large a one.
+    /// The bytes received are no valid HTTP response, or a response that is too large or too late.
     Malformed(&'static str),
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     DialTimeout,
-    /// No descriptor is left.
+    /// The limit on open descriptors is reached.
     NoDescriptor,
-    /// The server has as many connections as it may have.
+    /// The pool of this server has reached its maximum number of connections.
     MostConnections,
-    /// The server left the list before anything was written to it.
+    /// The server was taken off the list, or stopped taking requests, before anything was written to it.
     ServerGone,
-    /// A panic in the connection's coroutine.
+    /// The connection's coroutine panicked.
     Panic,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl AttemptError {
-    /// Only a request whose head was not written whole is known not to have run.
+    /// True if the server cannot have run the request: its head was not completely written.
     pub fn never_ran(&self) -> bool {
         self.progress < Progress::Written
     }
@@ -75,7 +76,8 @@
 mod tests {
     use super::*;
 
-    /// In doubt an attempt may have run: taken for one that did not, it could have its effect twice.
+    /// An attempt that may have run must not count as one that never ran: if it were sent again, it could take
+    /// effect twice.
     #[test]
     fn only_what_was_not_written_whole_never_ran() {
         let never_ran = |progress| AttemptError { progress, cause: Cause::Ended }.never_ran();
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,9 +1,8 @@
-//! The network half of a program that stands between clients and servers, without any decision: a listener
-//! and its clients' connections (`listener`), a server's connections (`pool`), and the parts that both are made
-//! of. What is read out of a message and what is answered is the program's: it gives a `listener::Desk` and a
-//! `pool::Wire`.
+//! The network layer of a program between clients and servers: listeners and their client connections
+//! (`listener`), pools of connections to servers (`pool`), and the parts that both are built from. It makes no
+//! decisions: the program implements `listener::Desk` and `pool::Wire` to interpret messages and to answer them.
 //!
-//! All of it runs on one thread of coroutines; any thread may post to its actors.
+//! Everything here runs on one thread of coroutines; any thread may post messages to its actors.
 
 pub mod clock;
 pub mod errors;
@@ -19,15 +18,15 @@
 
 pub use clock::Micros;
 
-/// Stack of a coroutine in machine words.
-const STACK: usize = 0x2000;
-/// Stacks kept ready.
-const STACKS: usize = 64;
+/// Stack size of a coroutine, in machine words.
+const STACK_WORDS: usize = 0x2000;
+/// Number of coroutine stacks kept for reuse.
+const STACK_POOL_SIZE: usize = 64;
 
-/// Sets up the coroutines, before the first of them. One worker, as the program has one core; not pinned, as
-/// several may share a machine.
+/// Configures the coroutine library; to be called before the first coroutine starts. There is one worker, as the
+/// program has one core. It is not pinned to a core, as several programs may share a machine.
 pub fn set_up() {
     let coroutines = may::config();
-    coroutines.set_workers(1).set_pool_capacity(STACKS).set_stack_size(STACK);
+    coroutines.set_workers(1).set_pool_capacity(STACK_POOL_SIZE).set_stack_size(STACK_WORDS);
     coroutines.set_worker_pin(false);
 }
--- a/crates/net/src/limits.rs
+++ b/crates/net/src/limits.rs
@@ -1,116 +1,128 @@
-//! What a program may hold: descriptors, and memory for bodies. Counts alone; who holds something gives it
-//! back by dropping it.
+//! Limits on open descriptors and on memory for request bodies. They only count: a holder gets a permit, and
+//! dropping the permit releases its share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Descriptors. A part is kept for servers: clients could otherwise take those that their own requests need.
-/// When the clients' part runs short, each answer ends its connection, which is the one way to part that
-/// cannot cross a request. The last few are a lane for being turned away: a request whose connection the
-/// machine has accepted must be answered, also when there is no room to serve it.
+/// The limit on open descriptors. A part is reserved for connections to servers: client connections could otherwise
+/// take the descriptors that their own requests need. When few are left for clients, each answer closes its
+/// connection, the only way to close that cannot collide with a request on its way. The last few serve only to
+/// refuse requests: a request whose connection the machine has accepted must be answered, even if it cannot be
+/// served.
 pub struct Fds {
-    room: usize,
-    kept: usize,
+    /// Descriptors for connections of both kinds.
+    connection_limit: usize,
+    reserved_for_servers: usize,
     open: [AtomicUsize; 2],
 }
 
 #[derive(Clone, Copy)]
-pub enum Side {
-    Clients = 0,
-    Servers = 1,
+pub enum ConnectionKind {
+    Client = 0,
+    Server = 1,
 }
 
-/// Descriptors beside connections: standard streams, event loop, timers, listener, discovery, signals.
-const OTHERS: usize = 24;
-/// One in so many is kept for servers; with so few left clients are short of them, or turned away.
-const KEPT_PART: usize = 4;
-const SHORT_PART: usize = 8;
-const LANE_PART: usize = 16;
+/// Descriptors that are no connections: standard streams, event loop, timers, listener, discovery, signals.
+const OTHER_DESCRIPTORS: usize = 24;
+/// One descriptor in so many is reserved for connections to servers.
+const SERVER_RESERVE_DIVISOR: usize = 4;
+/// Below this part of the descriptors (one in so many), client connections are closed to free some.
+const SHORT_DIVISOR: usize = 8;
+/// Below this part (one in so many), new requests of clients are refused.
+const REFUSE_DIVISOR: usize = 16;
 
 impl Fds {
     pub fn new(limit: usize) -> Fds {
-        let room = limit.saturating_sub(OTHERS);
-        Fds { room, kept: room / KEPT_PART, open: Default::default() }
+        let connection_limit = limit.saturating_sub(OTHER_DESCRIPTORS);
+        let reserved_for_servers = connection_limit / SERVER_RESERVE_DIVISOR;
+        Fds { connection_limit, reserved_for_servers, open: Default::default() }
     }
 
-    /// Leave to open one more descriptor, given back when it is dropped.
-    pub fn take(self: &Arc<Fds>, side: Side) -> Option<Fd> {
-        if self.left(side) == 0 {
+    /// A permit to open one more descriptor, released when it is dropped; None if there is none left.
+    pub fn take(self: &Arc<Fds>, kind: ConnectionKind) -> Option<Fd> {
+        if self.left(kind) == 0 {
             return None;
         }
-        self.open[side as usize].fetch_add(1, Ordering::Relaxed);
-        Some(Fd { fds: self.clone(), side })
+        self.open[kind as usize].fetch_add(1, Ordering::Relaxed);
+        Some(Fd { fds: self.clone(), kind })
     }
 
-    fn left(&self, side: Side) -> usize {
-        let (clients, servers) = (self.open(Side::Clients), self.open(Side::Servers));
-        match side {
-            Side::Clients => self.room.saturating_sub(clients + servers.max(self.kept)),
-            Side::Servers => self.room.saturating_sub(clients + servers),
+    fn left(&self, kind: ConnectionKind) -> usize {
+        let (clients, servers) = (self.open(ConnectionKind::Client), self.open(ConnectionKind::Server));
+        match kind {
+            ConnectionKind::Client => {
+                self.connection_limit.saturating_sub(clients + servers.max(self.reserved_for_servers))
+            }
+            ConnectionKind::Server => self.connection_limit.saturating_sub(clients + servers),
         }
     }
 
-    /// Clients' connections must give way.
+    /// So few descriptors are left for clients that client connections must be closed.
     pub fn short(&self) -> bool {
-        self.left(Side::Clients) < self.room / SHORT_PART
+        self.left(ConnectionKind::Client) < self.connection_limit / SHORT_DIVISOR
     }
 
-    /// Only the lane is left to clients.
+    /// Only the descriptors for refusing requests are left for clients.
     pub fn full(&self) -> bool {
-        self.left(Side::Clients) < self.room / LANE_PART
+        self.left(ConnectionKind::Client) < self.connection_limit / REFUSE_DIVISOR
     }
 
-    /// So many connections may stay idle of which nobody knows whether they will ask again.
-    pub fn most_sitting(&self) -> usize {
-        self.room / SHORT_PART
+    /// How many client connections may stay idle after a single request, as it is not known whether they will
+    /// send another.
+    pub fn max_idle_after_one_request(&self) -> usize {
+        self.connection_limit / SHORT_DIVISOR
     }
 
-    pub fn open(&self, side: Side) -> usize {
-        self.open[side as usize].load(Ordering::Relaxed)
+    /// The number of open connections of that kind.
+    pub fn open(&self, kind: ConnectionKind) -> usize {
+        self.open[kind as usize].load(Ordering::Relaxed)
     }
 }
 
+/// A permit to hold one open descriptor.
 pub struct Fd {
     fds: Arc<Fds>,
-    side: Side,
+    kind: ConnectionKind,
 }
 
 impl Drop for Fd {
     fn drop(&mut self) {
-        self.fds.open[self.side as usize].fetch_sub(1, Ordering::Relaxed);
+        self.fds.open[self.kind as usize].fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Memory for the bodies of requests. What one connection may hold is bounded elsewhere; together they may
-/// hold this part of the limit, the rest being for answers, connections and the program.
+/// The limit on memory for the bodies of requests. The body size of one request is bounded elsewhere (`Bounds`).
 pub struct Memory {
-    most: usize,
-    held: AtomicUsize,
+    max_bytes: usize,
+    used_bytes: AtomicUsize,
 }
 
-const BODIES_PART: (u64, u64) = (3, 8);
+/// The part of the program's memory that request bodies may take together, as numerator and denominator. The rest
+/// is for answers, connections and the program itself.
+const BODY_MEMORY_FRACTION: (u64, u64) = (3, 8);
 
 impl Memory {
     pub fn new(memory_mb: u64) -> Memory {
-        let most = memory_mb.saturating_mul(1024 * 1024) / BODIES_PART.1 * BODIES_PART.0;
-        Memory { most: usize::try_from(most).unwrap_or(usize::MAX), held: AtomicUsize::new(0) }
+        let max = memory_mb.saturating_mul(1024 * 1024) / BODY_MEMORY_FRACTION.1 * BODY_MEMORY_FRACTION.0;
+        Memory { max_bytes: usize::try_from(max).unwrap_or(usize::MAX), used_bytes: AtomicUsize::new(0) }
     }
 
-    /// Leave to hold so many bytes, given back when it is dropped.
+    /// A permit to hold so many bytes, released when it is dropped; None if they are not available.
     pub fn take(self: &Arc<Memory>, bytes: usize) -> Option<Lease> {
-        let take = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.most);
-        let taken = self.held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take);
+        let take = |used: usize| used.checked_add(bytes).filter(|sum| *sum <= self.max_bytes);
+        let taken = self.used_bytes.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take);
         taken.ok().map(|_| Lease { memory: self.clone(), bytes })
     }
 }
 
+/// A permit to hold a number of bytes.
 pub struct Lease {
     memory: Arc<Memory>,
     bytes: usize,
 }
 
 impl Lease {
-    /// Leave to hold so many bytes in all; false, and as before, if they are not to be had.
+    /// Extends the permit to `bytes` in all. Returns false and changes nothing if they are not available.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let Some(more) = bytes.checked_sub(self.bytes).filter(|more| *more > 0) else { return true };
         let Some(mut lease) = self.memory.take(more) else { return false };
@@ -119,16 +131,16 @@
     }
 }
 
-/// A body, and the leave to hold it.
+/// A request body in memory, with the permit to hold it.
 #[derive(Default)]
-pub struct Held {
+pub struct BufferedBody {
     pub bytes: Vec<u8>,
     pub lease: Option<Lease>,
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.memory.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.memory.used_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
@@ -139,10 +151,10 @@
     #[test]
     fn bodies_hold_no_more_than_their_part_together() {
         let memory = Arc::new(Memory::new(32));
-        let held: Vec<Lease> = std::iter::from_fn(|| memory.take(128 * 1024)).collect();
-        assert_eq!(held.len(), 96, "12 of 32 MB");
+        let leases: Vec<Lease> = std::iter::from_fn(|| memory.take(128 * 1024)).collect();
+        assert_eq!(leases.len(), 96, "12 of 32 MB");
         assert!(memory.take(1).is_none() && memory.take(usize::MAX).is_none());
-        drop(held);
+        drop(leases);
         let mut grown = memory.take(1).expect("there is room");
         assert!(!grown.grow(12 * 1024 * 1024 + 1) && grown.grow(12 * 1024 * 1024));
         assert!(memory.take(1).is_none());
@@ -153,15 +165,16 @@
     #[test]
     fn neither_side_can_take_all_descriptors() {
         let fds = Arc::new(Fds::new(24 + 160));
-        let mut clients: Vec<Fd> = std::iter::from_fn(|| fds.take(Side::Clients)).take(105).collect();
+        let mut clients: Vec<Fd> =
+            std::iter::from_fn(|| fds.take(ConnectionKind::Client)).take(105).collect();
         assert!(fds.short() && !fds.full());
-        clients.extend(std::iter::from_fn(|| fds.take(Side::Clients)));
+        clients.extend(std::iter::from_fn(|| fds.take(ConnectionKind::Client)));
         assert!(fds.full());
         assert_eq!(clients.len(), 120);
-        let servers: Vec<Fd> = std::iter::from_fn(|| fds.take(Side::Servers)).collect();
+        let servers: Vec<Fd> = std::iter::from_fn(|| fds.take(ConnectionKind::Server)).collect();
         assert_eq!(servers.len(), 40);
         drop(clients);
-        let more: Vec<Fd> = std::iter::from_fn(|| fds.take(Side::Servers)).collect();
+        let more: Vec<Fd> = std::iter::from_fn(|| fds.take(ConnectionKind::Server)).collect();
         assert_eq!((servers.len(), more.len()), (40, 120));
     }
 }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -9,9 +9,9 @@
 use crate::Micros;
 use crate::clock::Alarm;
 use crate::http::{self, Bad, Bounds};
-use crate::limits::{Fd, Held, Side};
-use crate::mailbox::{Bell, Mailbox};
-use crate::resources::Room;
+use crate::limits::{BufferedBody, ConnectionKind, Fd};
+use crate::mailbox::{Mailbox, Waker};
+use crate::resources::Resources;
 use crate::ring::Bytes;
 use crate::socket::Watched;
 use socket2::{Domain, Type};
@@ -37,8 +37,8 @@
     /// The head is whole. An error is answered by `refusal`, and ends the connection.
     fn head(&self, head: &http::Request) -> Result<Heard<Self::Ask>, Bad>;
 
-    /// The request is whole. `id` is its own among all requests of all listeners of one `Room`.
-    fn asked(&self, id: u64, ask: Self::Ask, body: Held, reply: Reply);
+    /// The request is whole. `id` is its own among all requests of all listeners of one `Resources`.
+    fn asked(&self, id: u64, ask: Self::Ask, body: BufferedBody, reply: Reply);
 
     /// So many requests of one connection may be under way at once, where they are GET or HEAD without a body and the
     /// client sends them before it has its answers.
@@ -77,7 +77,7 @@
     pub status: u16,
     /// Whole lines, "Name: value\r\n", without framing and `Connection`.
     pub headers: Vec<u8>,
-    /// Held until it is written, never copied if it is large. Not sent to HEAD nor with 204 and 304.
+    /// BufferedBody until it is written, never copied if it is large. Not sent to HEAD nor with 204 and 304.
     pub body: Bytes,
     /// The connection ends in the middle of its body; where that is empty, without anything.
     pub cut: bool,
@@ -265,11 +265,11 @@
 
 /// A listener and all open connections that came by it.
 pub struct Door<D: Desk> {
-    room: Arc<Room>,
+    room: Arc<Resources>,
     desk: Arc<D>,
     addr: SocketAddr,
     open: Mutex<HashMap<u64, Arc<Known>>>,
-    bell: Bell,
+    bell: Waker,
     paused: AtomicBool,
     shut: AtomicBool,
     /// Idle connections that have asked once: as counted last, and those that have had their answer since.
@@ -297,7 +297,7 @@
 
 impl<D: Desk> Door<D> {
     /// Listens from the call on.
-    pub fn start(listen: SocketAddr, room: Arc<Room>, desk: Arc<D>) -> io::Result<Arc<Door<D>>> {
+    pub fn start(listen: SocketAddr, room: Arc<Resources>, desk: Arc<D>) -> io::Result<Arc<Door<D>>> {
         let socket = socket2::Socket::new(Domain::for_address(listen), Type::STREAM, None)?;
         socket.set_reuse_address(true)?; // connections of an earlier life may still be closing
         socket.bind(&listen.into())?;
@@ -311,7 +311,7 @@
             desk,
             addr,
             open: Mutex::default(),
-            bell: listener.bell(),
+            bell: listener.waker(),
             paused: AtomicBool::new(false),
             shut: AtomicBool::new(false),
             sitting: AtomicUsize::new(0),
@@ -370,7 +370,7 @@
         let mut left = BACKLOG + 1;
         while left > 0 {
             left -= i32::from(self.shut.load(Ordering::Relaxed));
-            let Some(fd) = self.room.fds.take(Side::Clients) else {
+            let Some(fd) = self.room.fds.take(ConnectionKind::Client) else {
                 self.make_room(false);
                 self.desk.crowded(); // idle connections to servers give way too
                 return self.pause();
@@ -408,7 +408,7 @@
 
     fn resume(&self) {
         if self.paused.swap(false, Ordering::Relaxed) {
-            self.bell.ring();
+            self.bell.wake();
         }
     }
 
@@ -429,7 +429,7 @@
     /// Whether a connection may stay after its first answer. Some clients never ask again on one, yet keep
     /// it, and may hold only so many themselves: left open, these would keep them from asking at all.
     fn may_sit(&self) -> bool {
-        self.sitting.fetch_add(1, Ordering::Relaxed) < self.room.fds.most_sitting()
+        self.sitting.fetch_add(1, Ordering::Relaxed) < self.room.fds.max_idle_after_one_request()
     }
 
     /// Whether a connection that comes often may be ended by its answer to let others in.
@@ -445,7 +445,7 @@
     /// Takes no more connections; those that are open go on.
     pub fn shut(&self) {
         self.shut.store(true, Ordering::Relaxed);
-        self.bell.ring();
+        self.bell.wake();
     }
 
     /// Connections that are open, whatever they do.
@@ -468,7 +468,7 @@
     fn serve(self: &Arc<Self>, stream: TcpStream, fd: Fd) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let io = Watched::new(stream)?;
-        let inbox = Arc::new(Mailbox::new(io.bell()));
+        let inbox = Arc::new(Mailbox::new(io.waker()));
         let number = self.room.ids.fetch_add(1, Ordering::Relaxed);
         let born = self.room.clock.now();
         let (doing, since) = (AtomicU8::new(Doing::Idle as u8), AtomicU64::new(born));
--- a/crates/net/src/listener/connection.rs
+++ b/crates/net/src/listener/connection.rs
@@ -3,7 +3,7 @@
 use super::{Answer, Desk, Doing, Door, Heard, Known, Reply, To, ToClient};
 use crate::Micros;
 use crate::http::{self, Bad, Body, Framing};
-use crate::limits::{Fd, Held, Lease};
+use crate::limits::{BufferedBody, Fd, Lease};
 use crate::ring::{Bytes, Filled, Outgoing, Ring};
 use crate::socket::{Stream, Watched, events};
 use std::collections::VecDeque;
@@ -183,7 +183,7 @@
             if woken <= now || wake_at < woken {
                 woken = wake_at;
                 let known = self.known.clone();
-                self.all.room.alarms.after(wake_at - now, move || known.inbox.ring());
+                self.all.room.alarms.after(wake_at - now, move || known.inbox.wake());
             }
             self.io.wait();
         }
@@ -246,7 +246,7 @@
                             Some(bad) => self.refuse(&bad),
                             None => {
                                 // At once: what comes between this look and the end is lost to its client.
-                                let _ = self.io.end(Shutdown::Both);
+                                let _ = self.io.shutdown(Shutdown::Both);
                                 return Turn::Over;
                             }
                         },
@@ -473,7 +473,7 @@
         };
         let all = self.all.clone();
         if first && all.room.fds.full() && !all.make_room(true) {
-            all.room.no_room.fetch_add(1, Ordering::Relaxed);
+            all.room.refused_without_descriptors.fetch_add(1, Ordering::Relaxed);
             (due.last, due.answer) = (true, Some(all.desk.refusal(&NO_ROOM)));
             self.line.push_back(due);
             return self.respond();
@@ -481,7 +481,7 @@
         due.id = all.room.ids.fetch_add(1, Ordering::Relaxed);
         let id = due.id;
         self.line.push_back(due);
-        let body = Held { bytes: part.body.content, lease: part.lease };
+        let body = BufferedBody { bytes: part.body.content, lease: part.lease };
         all.desk.asked(id, ask, body, Reply { id, to: To::Conn(self.known.inbox.clone()) });
     }
 
--- a/crates/net/src/listener/model.rs
+++ b/crates/net/src/listener/model.rs
@@ -57,7 +57,7 @@
         self.clone()
     }
 
-    fn end(&self, _: Shutdown) -> io::Result<()> {
+    fn shutdown(&self, _: Shutdown) -> io::Result<()> {
         self.0.borrow_mut().over = true;
         Ok(())
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    fn asked(&self, id: u64, ask: String, body: Held, reply: Reply) {
+    fn asked(&self, id: u64, ask: String, body: BufferedBody, reply: Reply) {
         let whole = format!("{ask}{}", String::from_utf8_lossy(&body.bytes));
         self.heard.lock().expect("whole").push((id, whole.clone()));
         self.asked.lock().expect("whole").push((id, whole, reply));
@@ -140,7 +140,7 @@
 
 /// One connection; what of it is wrong.
 fn course(
-    room: &Arc<Room>,
+    room: &Arc<Resources>,
     alarm: &Alarm,
     tape: &mut Tape,
     sent: &[usize],
@@ -152,20 +152,20 @@
         desk: desk.clone(),
         addr: "127.0.0.1:1".parse().expect("an address"),
         open: Mutex::default(),
-        bell: alarm.bell(),
+        bell: alarm.waker(),
         paused: AtomicBool::new(false),
         shut: AtomicBool::new(false),
         sitting: AtomicUsize::new(0),
         parted_at: AtomicU64::new(u64::MAX / 2),
     });
     let known = Arc::new(Known {
-        inbox: Arc::new(Mailbox::new(alarm.bell())),
+        inbox: Arc::new(Mailbox::new(alarm.waker())),
         doing: AtomicU8::new(Doing::Idle as u8),
         since: AtomicU64::new(0),
         born: 0,
         asked: AtomicU32::new(0),
     });
-    let (pipe, fd) = (Pipe::default(), room.fds.take(Side::Clients).expect("room"));
+    let (pipe, fd) = (Pipe::default(), room.fds.take(ConnectionKind::Client).expect("room"));
     let mut client = Client::new(pipe.clone(), door, known, fd);
     let bytes: Vec<u8> = sent.iter().flat_map(|n| REQUESTS[*n].0.bytes()).collect();
     let split = tape.pick(bytes.len());
@@ -268,10 +268,10 @@
     None
 }
 
-fn room() -> Arc<Room> {
+fn room() -> Arc<Resources> {
     let clock = Clock::start();
     let alarms = Alarms::start(clock).expect("a timer");
-    Arc::new(Room::new(4000, 64, clock, alarms, Box::new(|_| {})))
+    Arc::new(Resources::new(4000, 64, clock, alarms, Box::new(|_| {})))
 }
 
 /// All courses of what is sent; how many, and the first with a fault.
--- a/crates/net/src/mailbox.rs
+++ b/crates/net/src/mailbox.rs
@@ -1,52 +1,54 @@
-//! The mailbox of an actor that waits on a descriptor: a queue, and a bell that wakes the actor.
+//! The mailbox of an actor that waits on a descriptor: a queue, and a waker for the actor.
 //!
-//! No message is left lying, as long as the descriptor is watched (`socket::Watched`) and the actor looks after each
-//! wait. A message is in the queue before its bell is rung. The bell sets a flag; the wait takes the flag as it
-//! ends, and the look comes after that: what was posted before the flag was taken is seen by that look, what is
-//! posted later sets it again and ends the next wait. A ring may come late and end a wait for nothing. What can
-//! be in a mailbox is bounded by what its senders hold: a connection has one request or one
-//! attempt at a time, and connections are bounded by the descriptors.
+//! No wake-up is lost, as long as the descriptor is watched (`socket::Watched`) and the actor reads its mailbox
+//! after each wait. A message is in the queue before the waker is called. The waker sets a flag; the wait clears
+//! the flag as it ends, and the actor reads the queue after that. So a message posted before the flag was cleared
+//! is read at once, and a message posted later sets the flag again and ends the next wait. A wake-up may come late
+//! and find the queue empty. The queue has no limit of its own; its length is bounded by its senders: a connection
+//! has a limited number of requests or one attempt at a time, and connections are limited by the descriptors.
 
 use may::io::{AsIoData, WaitIo, WaitIoWaker};
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-pub struct Bell(WaitIoWaker);
+/// Wakes the coroutine that waits on a descriptor.
+pub struct Waker(WaitIoWaker);
 
-impl Bell {
-    pub(crate) fn of<T: AsIoData>(io: &T) -> Bell {
-        Bell(io.waker())
+impl Waker {
+    pub(crate) fn of<T: AsIoData>(io: &T) -> Waker {
+        Waker(io.waker())
     }
 
-    pub fn ring(&self) {
+    pub fn wake(&self) {
         self.0.wakeup();
     }
 }
 
 pub struct Mailbox<T> {
     queue: Mutex<VecDeque<T>>,
-    bell: Mutex<Bell>,
+    waker: Mutex<Waker>,
 }
 
 impl<T> Mailbox<T> {
-    pub fn new(bell: Bell) -> Mailbox<T> {
-        Mailbox { queue: Mutex::new(VecDeque::new()), bell: Mutex::new(bell) }
+    pub fn new(waker: Waker) -> Mailbox<T> {
+        Mailbox { queue: Mutex::new(VecDeque::new()), waker: Mutex::new(waker) }
     }
 
-    /// From here on another bell wakes the actor: it waits on something else. What came before is still
-    /// there, so the actor looks again after the call.
-    pub fn rehang(&self, bell: Bell) {
-        *self.bell.lock().unwrap_or_else(PoisonError::into_inner) = bell;
+    /// Replaces the waker, for an actor that is going to wait on another descriptor. A message posted before this
+    /// call may have woken the old one, so the actor must read the mailbox once more before it waits.
+    pub fn set_waker(&self, waker: Waker) {
+        *self.waker.lock().unwrap_or_else(PoisonError::into_inner) = waker;
     }
 
-    /// A panic elsewhere leaves the queue whole: it is never held across anything that can panic.
+    /// A poisoned lock is still consistent: it is never held across anything that can panic.
     fn queue(&self) -> MutexGuard<'_, VecDeque<T>> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Adds a message and wakes the actor.
     pub fn post(&self, message: T) {
         self.queue().push_back(message);
-        self.ring();
+        self.wake();
     }
 
     pub fn is_empty(&self) -> bool {
@@ -57,14 +59,15 @@
         self.queue().pop_front()
     }
 
-    /// Moves up to `most` messages to `batch`.
-    pub fn take(&self, most: usize, batch: &mut Vec<T>) {
+    /// Moves up to `max` messages to `batch`.
+    pub fn take(&self, max: usize, batch: &mut Vec<T>) {
         let mut queue = self.queue();
-        let n = most.min(queue.len());
+        let n = max.min(queue.len());
         batch.extend(queue.drain(..n));
     }
 
-    pub fn ring(&self) {
-        self.bell.lock().unwrap_or_else(PoisonError::into_inner).ring();
+    /// Wakes the actor without a message.
+    pub fn wake(&self) {
+        self.waker.lock().unwrap_or_else(PoisonError::into_inner).wake();
     }
 }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -11,9 +11,9 @@
 use crate::Micros;
 use crate::errors::{AttemptError, Cause, Progress};
 use crate::http::{self, Bounds};
-use crate::limits::{Held, Side};
+use crate::limits::{BufferedBody, ConnectionKind};
 use crate::mailbox::Mailbox;
-use crate::resources::Room;
+use crate::resources::Resources;
 use crate::socket;
 use may::sync::mpsc::{Receiver, Sender, channel};
 use std::collections::{HashMap, VecDeque};
@@ -58,7 +58,7 @@
 pub struct Passage {
     /// Request line and headers, without framing and without the blank line that ends them.
     pub head: Vec<u8>,
-    pub body: Held,
+    pub body: BufferedBody,
 }
 
 /// One attempt.
@@ -121,7 +121,7 @@
 
 impl<W: Wire> Peer<W> {
     /// Starts the actor of a server; it dials once there is something to send.
-    pub fn start(addr: SocketAddr, room: Arc<Room>, wire: Arc<W>, settings: Settings) -> Peer<W> {
+    pub fn start(addr: SocketAddr, room: Arc<Resources>, wire: Arc<W>, settings: Settings) -> Peer<W> {
         let (me, inbox) = channel();
         let server = Server::new(addr, room, wire, settings, me.clone());
         may::go!(move || server.run(&inbox));
@@ -222,7 +222,7 @@
     addr: SocketAddr,
     up: bool,
     gone: bool,
-    room: Arc<Room>,
+    room: Arc<Resources>,
     wire: Arc<W>,
     settings: Settings,
     me: Sender<ToServer<W>>,
@@ -246,7 +246,7 @@
 impl<W: Wire> Server<W> {
     fn new(
         addr: SocketAddr,
-        room: Arc<Room>,
+        room: Arc<Resources>,
         wire: Arc<W>,
         settings: Settings,
         me: Sender<ToServer<W>>,
@@ -434,7 +434,7 @@
         if self.conns.len() >= self.settings.most {
             return self.refuse(job, Cause::MostConnections);
         }
-        let Some(fd) = self.room.fds.take(Side::Servers) else {
+        let Some(fd) = self.room.fds.take(ConnectionKind::Server) else {
             self.wire.crowded();
             return self.refuse(job, Cause::NoDescriptor);
         };
@@ -450,7 +450,7 @@
         };
         self.count += 1;
         let (conn, key) = (self.count, (job.id, job.attempt));
-        let inbox = Arc::new(Mailbox::new(io.bell()));
+        let inbox = Arc::new(Mailbox::new(io.waker()));
         self.conns.insert(conn, Conn { inbox: inbox.clone(), connected: false, job: Some(key) });
         self.busy.insert(key, conn);
         let with = connection::With {
@@ -509,9 +509,10 @@
     fn server(listener: &TcpListener) -> Server<Mute> {
         let clock = Clock::start();
         let alarms = Alarms::start(clock).expect("a timer");
-        let room = Arc::new(Room::new(1000, 64, clock, alarms, Box::new(|_| {})));
-        let inbox = Arc::new(Mailbox::new(Alarm::new(clock).expect("a timer").bell()));
-        let passage = Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: Held::default() });
+        let room = Arc::new(Resources::new(1000, 64, clock, alarms, Box::new(|_| {})));
+        let inbox = Arc::new(Mailbox::new(Alarm::new(clock).expect("a timer").waker()));
+        let passage =
+            Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() });
         inbox.post(ToConn::Carry(Job {
             id: 5,
             attempt: 0,
@@ -564,7 +565,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
         server.take(ToServer::Free { conn: 1, keep_us: None });
-        let passage = Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: Held::default() });
+        let passage =
+            Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() });
         let until = server.room.clock.now() + 1_000_000;
         for (id, again, conn) in [(5, true, 2), (6, false, 1)] {
             let passage = passage.clone();
@@ -602,7 +604,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
         server.settings.most = 1;
-        let passage = Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: Held::default() });
+        let passage =
+            Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() });
         let until = server.room.clock.now() + 1_000_000;
         server.take(ToServer::Send(Job { id: 6, attempt: 0, passage, again: false, until, note: () }));
         assert!(!server.busy.contains_key(&(6, 0)) && server.conns.len() == 1);
--- a/crates/net/src/pool/connection.rs
+++ b/crates/net/src/pool/connection.rs
@@ -5,7 +5,7 @@
 use crate::errors::Cause;
 use crate::limits::Fd;
 use crate::mailbox::Mailbox;
-use crate::resources::Room;
+use crate::resources::Resources;
 use crate::socket::{Watched, events};
 use may::sync::mpsc::Sender;
 use std::net::TcpStream;
@@ -15,7 +15,7 @@
 /// What a connection has of its server's actor.
 pub(super) struct With<W: Wire> {
     pub number: u64,
-    pub room: Arc<Room>,
+    pub room: Arc<Resources>,
     pub wire: Arc<W>,
     pub settings: Settings,
     pub server: Sender<ToServer<W>>,
@@ -111,7 +111,7 @@
         self.exchange.write(self.io.inner())?;
         if let Some(wait) = self.exchange.hurry(room.clock.now())? {
             let inbox = self.inbox.clone();
-            room.alarms.after(wait, move || inbox.ring());
+            room.alarms.after(wait, move || inbox.wake());
         }
         Ok(false)
     }
--- a/crates/net/src/resources.rs
+++ b/crates/net/src/resources.rs
@@ -1,4 +1,4 @@
-//! What all listeners and pools of one program share.
+//! The clock, limits, log and numbering that all listeners and pools of one program share.
 
 use crate::clock::{Alarms, Clock};
 use crate::limits::{Fds, Memory};
@@ -6,30 +6,31 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize};
 
-/// Takes a warning to the program's log.
+/// Writes a warning to the program's log.
 pub type Warn = Box<dyn Fn(Arguments) + Send + Sync>;
 
-pub struct Room {
+/// Shared by all listeners and pools of one program.
+pub struct Resources {
     pub clock: Clock,
     pub alarms: Alarms,
     pub fds: Arc<Fds>,
     pub memory: Arc<Memory>,
-    /// Requests that were turned away for want of descriptors since somebody last took the count.
-    pub no_room: AtomicUsize,
+    /// Requests refused because descriptors ran out, since this count was last reset by its reader.
+    pub refused_without_descriptors: AtomicUsize,
     pub(crate) warn: Warn,
-    /// Numbers of connections and requests, of all listeners together.
+    /// The next id of a connection or request, across all listeners.
     pub(crate) ids: AtomicU64,
 }
 
-impl Room {
-    /// `sockets` descriptors at the most, and a part of `memory_mb` for requests' bodies.
-    pub fn new(sockets: usize, memory_mb: u64, clock: Clock, alarms: Alarms, warn: Warn) -> Room {
-        Room {
+impl Resources {
+    /// Allows up to `sockets` descriptors, and a part of `memory_mb` for the bodies of requests.
+    pub fn new(sockets: usize, memory_mb: u64, clock: Clock, alarms: Alarms, warn: Warn) -> Resources {
+        Resources {
             clock,
             alarms,
             fds: Arc::new(Fds::new(sockets)),
             memory: Arc::new(Memory::new(memory_mb)),
-            no_room: AtomicUsize::new(0),
+            refused_without_descriptors: AtomicUsize::new(0),
             warn,
             ids: AtomicU64::new(1),
         }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,36 +1,36 @@
-//! Sockets as the coroutines use them.
+//! Non-blocking sockets for coroutines.
 
-use crate::mailbox::Bell;
+use crate::mailbox::Waker;
 use may::io::{CoIo, WaitIo};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::os::fd::{AsRawFd, RawFd};
 use std::time::Duration;
 
-/// A descriptor that the event loop watches: one coroutine waits on it, bells wake that one.
+/// A descriptor that the event loop watches. One coroutine waits on it, and wakers wake that coroutine.
 ///
-/// The library's own `CoIo` closes its descriptor first and stops watching it afterwards, by its number. Another
-/// thread that opens one in between gets the same number, and what it watches is watched no more: it never
-/// hears of anything. Here the watch ends while the descriptor is still held, so its number is nobody else's.
+/// The library's own `CoIo` closes its descriptor first and then stops watching it by its number. If another thread
+/// opens and watches a descriptor in between, it gets the same number, so the event loop stops watching the new
+/// descriptor and its coroutine never gets an event. Here the watch ends before the descriptor is closed.
 pub struct Watched<T> {
     // Fields are dropped in this order.
-    watch: CoIo<Number>,
+    watch: CoIo<RawDescriptor>,
     inner: T,
 }
 
-/// Of a descriptor that is held elsewhere.
-struct Number(RawFd);
+/// The number of a descriptor that is owned elsewhere.
+struct RawDescriptor(RawFd);
 
-impl AsRawFd for Number {
+impl AsRawFd for RawDescriptor {
     fn as_raw_fd(&self) -> RawFd {
         self.0
     }
 }
 
 impl<T: AsRawFd> Watched<T> {
-    /// Watches it from here on; it does not block from here on.
+    /// Registers the descriptor with the event loop and makes it non-blocking.
     pub fn new(inner: T) -> io::Result<Watched<T>> {
-        let watch = CoIo::new(Number(inner.as_raw_fd())).map_err(io::Error::from)?;
+        let watch = CoIo::new(RawDescriptor(inner.as_raw_fd())).map_err(io::Error::from)?;
         Ok(Watched { watch, inner })
     }
 }
@@ -40,22 +40,22 @@
         &self.inner
     }
 
-    /// Waits for an event or a ring, and takes all that came since the last wait; it may wake for nothing. Events
-    /// come once: who is woken reads or writes up to the end.
+    /// Waits for an event or a call of the waker, and returns the events since the last wait (see [`events`]). It may
+    /// return without any. Events are edge-triggered: the caller must read or write until the socket would block.
     pub fn wait(&self) -> usize {
         self.watch.wait_io()
     }
 
-    pub fn bell(&self) -> Bell {
-        Bell::of(&self.watch)
+    pub fn waker(&self) -> Waker {
+        Waker::of(&self.watch)
     }
 }
 
-/// What a connection is read from and written to. Not a socket where a model drives it.
+/// The byte stream of a connection: a socket, or a simulated pipe in model tests.
 pub trait Stream {
     fn socket(&self) -> impl Read + Write;
 
-    fn end(&self, how: Shutdown) -> io::Result<()>;
+    fn shutdown(&self, how: Shutdown) -> io::Result<()>;
 }
 
 impl Stream for Watched<TcpStream> {
@@ -63,35 +63,37 @@
         self.inner()
     }
 
-    fn end(&self, how: Shutdown) -> io::Result<()> {
+    fn shutdown(&self, how: Shutdown) -> io::Result<()> {
         self.inner().shutdown(how)
     }
 }
 
-/// Begins to connect. What is sent and not acknowledged for `silence` ends the connection: a machine that is
-/// gone says nothing.
-pub fn connect(addr: SocketAddr, silence: Option<Duration>) -> io::Result<Watched<TcpStream>> {
+/// Begins to connect. If data that was sent stays unacknowledged for `user_timeout` (`TCP_USER_TIMEOUT`), the
+/// connection fails: a machine that has vanished sends no reset.
+pub fn connect(addr: SocketAddr, user_timeout: Option<Duration>) -> io::Result<Watched<TcpStream>> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(addr), socket2::Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
-    if silence.is_some() {
-        socket.set_tcp_user_timeout(silence)?;
+    if user_timeout.is_some() {
+        socket.set_tcp_user_timeout(user_timeout)?;
     }
     match socket.connect(&addr.into()) {
         Ok(()) => {}
         Err(e) if e.raw_os_error() == Some(nix::errno::Errno::EINPROGRESS as i32) => {}
         Err(e) => return Err(e),
     }
-    // Watched only from here on: before the call an idle socket reads as hung up.
+    // Watched only after the call: before it, the event loop would report the unconnected socket as hung up.
     Watched::new(TcpStream::from(socket))
 }
 
-/// Events of a descriptor, as the event loop tells them.
+/// Bits of the events that [`Watched::wait`] returns.
 pub mod events {
     pub const READABLE: usize = 0x1;
     pub const WRITABLE: usize = 0x4;
     pub const ERROR: usize = 0x8;
     pub const HANG_UP: usize = 0x10;
+    /// The peer has shut down its sending side.
     pub const READ_END: usize = 0x2000;
+    /// Any event that says that the connection, or the peer's side of it, has ended.
     pub const ENDED: usize = ERROR | HANG_UP | READ_END;
 }
--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -5,11 +5,11 @@
 use net::clock::{Alarms, Clock};
 use net::errors::{Cause, Progress};
 use net::http::{self, Bad, Body, Bounds, NO_HEADERS};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::listener::{self, Answer, Desk, Door, Patience, Reply};
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
-use net::resources::Room;
+use net::resources::Resources;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -80,7 +80,7 @@
 /// What becomes of an attempt to which these parts come one after the other, and then that end.
 fn answered(method: &str, parts: &[&[u8]], end: End) -> String {
     let head = format!("{method} / HTTP/1.1\r\nHost: x\r\n").into_bytes();
-    let passage = Arc::new(Passage { head, body: Held::default() });
+    let passage = Arc::new(Passage { head, body: BufferedBody::default() });
     let job = Job { id: 1, attempt: 0, passage, again: false, until: 9_000_000, note: () };
     let mut exchange = Exchange::new(job, BOUNDS, 1_000_000);
     exchange.connected(&ById, 1);
@@ -309,13 +309,13 @@
 
 const WAIT: Duration = Duration::from_secs(10);
 
-fn room() -> Arc<Room> {
-    static ROOM: OnceLock<Arc<Room>> = OnceLock::new();
+fn room() -> Arc<Resources> {
+    static ROOM: OnceLock<Arc<Resources>> = OnceLock::new();
     let start = || {
         net::set_up();
         let clock = Clock::start();
         let alarms = Alarms::start(clock).expect("a timer");
-        Arc::new(Room::new(4000, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
+        Arc::new(Resources::new(4000, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
     };
     ROOM.get_or_init(start).clone()
 }
@@ -365,7 +365,7 @@
         let peer = Peer::start(addr, room(), Arc::new(Telling(Mutex::new(tell))), settings);
         for (id, at) in (1..).zip([0, bytes.len() / 3, bytes.len() / 2, bytes.len().saturating_sub(1)]) {
             let head = format!("{method} / HTTP/1.1\r\nHost: x\r\n").into_bytes();
-            let passage = Arc::new(Passage { head, body: Held::default() });
+            let passage = Arc::new(Passage { head, body: BufferedBody::default() });
             let until = room().clock.now() + 10_000_000;
             assert!(peer.send(Job { id, attempt: 0, passage, again: true, until, note: () }));
             let (mut server, _) = listener.accept().expect("a connection");
@@ -409,7 +409,7 @@
         Ok(listener::Heard::Take(format!("{} {}", head.method, head.target)))
     }
 
-    fn asked(&self, _: u64, ask: String, body: Held, reply: Reply) {
+    fn asked(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
         let content = String::from_utf8_lossy(&body.bytes).into_owned();
         reply.send(Answer::text(200, format!("{ask} {content}").trim_end()));
     }
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -6,10 +6,10 @@
 use net::clock::{Alarms, Clock};
 use net::errors::Progress;
 use net::http::{self, Bad, Bounds};
-use net::limits::{Fd, Held, Side};
+use net::limits::{BufferedBody, ConnectionKind, Fd};
 use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
-use net::resources::Room;
+use net::resources::Resources;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, RawFd};
@@ -22,15 +22,15 @@
 const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 32 * 1024 * 1024 };
 
 /// Each test has its own: where one takes all descriptors, the answers of others would end their connections.
-fn room() -> Arc<Room> {
+fn room() -> Arc<Resources> {
     room_of(4000)
 }
 
-fn room_of(sockets: usize) -> Arc<Room> {
+fn room_of(sockets: usize) -> Arc<Resources> {
     net::set_up();
     let clock = Clock::start();
     let alarms = Alarms::start(clock).expect("a timer");
-    Arc::new(Room::new(sockets, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
+    Arc::new(Resources::new(sockets, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
 }
 
 // ---- the wire, alone ----
@@ -117,7 +117,7 @@
 
 fn job(clock: Clock, method: &str, id: u64, body: Vec<u8>) -> Job<Vec<u8>> {
     let head = format!("{method} /{id} HTTP/1.1\r\nHost: x\r\n").into_bytes();
-    let passage = Arc::new(Passage { head, body: Held { bytes: body, lease: None } });
+    let passage = Arc::new(Passage { head, body: BufferedBody { bytes: body, lease: None } });
     Job {
         id,
         attempt: 0,
@@ -237,7 +237,7 @@
 
 /// Hands requests to the test, which answers them.
 struct Hand {
-    asked: Mutex<Sender<(String, Held, Reply)>>,
+    asked: Mutex<Sender<(String, BufferedBody, Reply)>>,
     withdrawn: Mutex<Sender<u64>>,
     draining: AtomicBool,
     idle_us: AtomicU64,
@@ -269,7 +269,7 @@
         }
     }
 
-    fn asked(&self, _: u64, ask: String, body: Held, reply: Reply) {
+    fn asked(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
         let _ = self.asked.lock().expect("whole").send((ask, body, reply));
     }
 
@@ -287,10 +287,10 @@
 }
 
 struct Open {
-    room: Arc<Room>,
+    room: Arc<Resources>,
     desk: Arc<Hand>,
     addr: SocketAddr,
-    asked: Receiver<(String, Held, Reply)>,
+    asked: Receiver<(String, BufferedBody, Reply)>,
     withdrawn: Receiver<u64>,
 }
 
@@ -303,7 +303,7 @@
     open_held_in(room())
 }
 
-fn open_held_in(room: Arc<Room>) -> (Open, Arc<Door<Hand>>) {
+fn open_held_in(room: Arc<Resources>) -> (Open, Arc<Door<Hand>>) {
     let ((tell, asked), (tell_gone, withdrawn)) = (channel(), channel());
     let desk = Hand {
         asked: Mutex::new(tell),
@@ -326,7 +326,7 @@
         BufReader::new(stream)
     }
 
-    fn asked(&self) -> (String, Held, Reply) {
+    fn asked(&self) -> (String, BufferedBody, Reply) {
         self.asked.recv_timeout(WAIT).expect("a request")
     }
 }
@@ -362,7 +362,8 @@
     say(&client, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
     let (_, _, reply) = door.asked();
     let fds = &door.room.fds;
-    let held: Vec<Fd> = std::iter::from_fn(|| (!fds.short()).then(|| fds.take(Side::Clients))?).collect();
+    let held: Vec<Fd> =
+        std::iter::from_fn(|| (!fds.short()).then(|| fds.take(ConnectionKind::Client))?).collect();
     assert!(fds.short() && !held.is_empty());
     reply.send(Answer::text(200, "one"));
     let (head, body) = message(&mut client).expect("an answer");
@@ -458,7 +459,8 @@
 fn a_door_that_is_shut_is_not_held_open_by_those_who_go_on_connecting() {
     let (door, held) = open_held_in(room_of(40_000));
     let fds = &door.room.fds;
-    let leaves: Vec<Fd> = std::iter::from_fn(|| (!fds.short()).then(|| fds.take(Side::Clients))?).collect();
+    let leaves: Vec<Fd> =
+        std::iter::from_fn(|| (!fds.short()).then(|| fds.take(ConnectionKind::Client))?).collect();
     let (begun, addr) = (Arc::new(Mutex::new(Vec::new())), door.addr);
     let more = begun.clone();
     let call = Box::new(move || {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -15,7 +15,7 @@
 use cluster::state::{Command, ServerChange, State};
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
 use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::pool::Passage;
 use net::timeouts::Timeouts;
 use settings::config::{Config, Index, Kind, Route, Tenant};
@@ -36,7 +36,7 @@
     pub key: Option<String>,
     /// Header lines that are meant for the server.
     pub head: Vec<u8>,
-    pub body: Held,
+    pub body: BufferedBody,
 }
 
 /// How an attempt ended.
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -6,10 +6,10 @@
 use cluster::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use miette::{Result, miette};
 use net::http::{self, Bad, Bounds};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::pool::{self, Job, Peer};
-use net::resources::Room;
+use net::resources::Resources;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached};
 use proxy::reservations::BookingTimes;
@@ -210,11 +210,11 @@
             left_us: left_us.map(|ms| ms.saturating_mul(1000)),
             key: key.map(|(_, key)| key.trim().to_string()),
             head: lines,
-            body: Held::default(),
+            body: BufferedBody::default(),
         }))
     }
 
-    fn asked(&self, id: u64, ask: Ask, body: Held, reply: Reply) {
+    fn asked(&self, id: u64, ask: Ask, body: BufferedBody, reply: Reply) {
         self.inbox.post(Told::Asked(Ask { id, body, ..ask }, reply));
     }
 
@@ -262,7 +262,7 @@
         }))
     }
 
-    fn asked(&self, _: u64, (): (), _: Held, reply: Reply) {
+    fn asked(&self, _: u64, (): (), _: BufferedBody, reply: Reply) {
         reply.send(Answer::text(404, "no such call\n"));
     }
 
@@ -297,7 +297,7 @@
     wire: Arc<Servers>,
     peers: HashMap<u64, Peer<Servers>>,
     replies: HashMap<u64, Reply>,
-    room: Arc<Room>,
+    room: Arc<Resources>,
     shown: Arc<Shown>,
     inbox: Inbox<Told>,
     out: Vec<front::Output>,
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -11,7 +11,7 @@
 use httparse::Header;
 use net::errors::Cause;
 use net::http::{Bounds, Response};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{self, Heard, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
@@ -187,7 +187,7 @@
             left_us: None,
             key: Some("k1".into()),
             head,
-            body: Held { bytes, lease: None },
+            body: BufferedBody { bytes, lease: None },
         }));
     }
 
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::News;
-use net::limits::Held;
+use net::limits::BufferedBody;
 use proxy::front::{Answer, Ask, End, Front, Input, Job, Output, Reached, Served};
 use proxy::reservations::BookingTimes;
 use proxy::routing_view::{Leeway, ProxySettings};
@@ -158,7 +158,7 @@
             left_us,
             key: key.map(str::to_string),
             head: b"Accept: all\r\n".to_vec(),
-            body: Held::default(),
+            body: BufferedBody::default(),
         }));
         self.asked
     }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -6,7 +6,7 @@
 use miette::{Result, miette};
 use net::Micros;
 use net::http::{self, Bad, Bounds};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
@@ -124,7 +124,7 @@
         }))
     }
 
-    fn asked(&self, id: u64, mut ask: Request, body: Held, reply: Reply) {
+    fn asked(&self, id: u64, mut ask: Request, body: BufferedBody, reply: Reply) {
         ask.body = body.bytes;
         self.inbox.post(Told::Call(id, ask, reply));
     }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -11,7 +11,7 @@
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
 use net::mailbox::Mailbox;
-use net::resources::Room;
+use net::resources::Resources;
 use serde::de::DeserializeOwned;
 use settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -166,18 +166,18 @@
         net::set_up();
         let clock = Clock::start();
         let alarm = Alarm::new(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
-        let inbox = Arc::new(Mailbox::new(alarm.bell()));
+        let inbox = Arc::new(Mailbox::new(alarm.waker()));
         Ok(Stage { clock, alarm, inbox })
     }
 
     /// What listeners and pools share: so many of the descriptors that the settings grant are kept for other things.
-    pub fn room(&self, clock: Clock, kept: u64) -> Result<Arc<Room>> {
+    pub fn room(&self, clock: Clock, kept: u64) -> Result<Arc<Resources>> {
         let alarms = Alarms::start(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
         let limits = &self.settings.limits;
         let sockets = limits.descriptor_limit.unwrap_or(SOCKETS).saturating_sub(kept) as usize;
         let memory = limits.memory_size_mb.unwrap_or(MEMORY_MB);
         let warn = Box::new(|what: std::fmt::Arguments| log::warn!("{what}"));
-        Ok(Arc::new(Room::new(sockets, memory, clock, alarms, warn)))
+        Ok(Arc::new(Resources::new(sockets, memory, clock, alarms, warn)))
     }
 
     /// Takes links on one of this machine's internal ports: each is posted first, then what becomes of it.
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -128,7 +128,7 @@
     socket.set_tcp_user_timeout(Some(silence))?;
     let io = Watched::new(TcpStream::from(socket))?;
     // The owner's end must exist before the link says anything: both begin with the same mailbox.
-    let inbox = Arc::new(Mailbox::new(io.bell()));
+    let inbox = Arc::new(Mailbox::new(io.waker()));
     let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
     let told = taken(Line { number, inbox: inbox.clone() }, from);
     go(io, number, inbox, false, told);
@@ -140,7 +140,7 @@
     dialing: bool,
     told: impl Fn(u64, Event<I>) + Send + 'static,
 ) -> Line {
-    let inbox = Arc::new(Mailbox::new(io.bell()));
+    let inbox = Arc::new(Mailbox::new(io.waker()));
     let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
     go(io, number, inbox.clone(), dialing, told);
     Line { number, inbox }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -11,7 +11,7 @@
 use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
 use config_store::chest::{self, Chest, Peer};
 use consensus::{Saved, Write};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::reservations::{BookingTimes, ReservationStatus};
@@ -606,7 +606,7 @@
                     left_us: Some(t.until.saturating_sub(t.sent)),
                     key: t.key.clone(),
                     head: format!("X-Attempt-Id: {number}\r\n").into_bytes(),
-                    body: Held::default(),
+                    body: BufferedBody::default(),
                 };
                 x.open.insert(conn, number);
                 self.front(n, Some(front::Input::Asked(ask)));
