--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -521,7 +521,8 @@
                 "open" => self.open.len(), "out" => self.attempts_in_flight(),
                 "carried" => self.shared.attempts_in_pools.load(Ordering::Relaxed),
                 "target" => format!("{:.1}", self.decider.target()), "batches" => c.batches, "events" => c.events,
-                "timer_late_us" => c.timer_late_us, "client_conns" => self.shared.room.fds.open(ConnectionKind::Client),
+                "timer_late_us" => c.timer_late_us,
+                "client_conns" => self.shared.room.fds.open(ConnectionKind::Client),
                 "server_conns" => self.shared.room.fds.open(ConnectionKind::Server), "last_error" => error);
         }
         self.report_at = self.now + REPORT_US;
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -90,7 +90,7 @@
         let mut socket = io.inner();
         outgoing.flush(socket)?;
         loop {
-            match incoming.fill(BOUNDS.held(), |room| socket.read(room)) {
+            match incoming.fill(BOUNDS.buffer_bytes(), |room| socket.read(room)) {
                 Ok(Some(filled)) if filled.bytes == 0 => return Ok(()),
                 Ok(_) => {
                     receive(shared, &mut incoming, &mut body, &mut line, version, lines)?;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -44,7 +44,7 @@
     for part in [head.method, " ", head.target, " HTTP/1.1\r\n"] {
         passed_on.extend_from_slice(part.as_bytes());
     }
-    http::pass_on(head.headers, &["Request-Timeout"], &mut passed_on);
+    http::copy_end_to_end_headers(head.headers, &["Request-Timeout"], &mut passed_on);
     let passage = Passage { head: passed_on, body: BufferedBody::default() };
     Ok(ClientRequest {
         id: 0,
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -64,7 +64,11 @@
         let number = |name| text(name).and_then(figure);
         let mut passed_on = Vec::new();
         if head.status == 200 {
-            http::pass_on(head.headers, &["X-Meter", "X-Settled", "Server-Load"], &mut passed_on);
+            http::copy_end_to_end_headers(
+                head.headers,
+                &["X-Meter", "X-Settled", "Server-Load"],
+                &mut passed_on,
+            );
         }
         Heard::Mine(AnswerHead {
             never_ran: text("Not-Started").is_some_and(|v| v.trim() == "1"),
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,14 +1,16 @@
-//! HTTP/1.1 messages: pure, no I/O. Heads are read by httparse; bodies by length, in chunks, or to the end.
+//! Parsing of HTTP/1.1 messages, without I/O. Heads are parsed by httparse; bodies are read by length, in chunks, or
+//! up to the end of the connection.
 
 use crate::ring::Filled;
 use httparse::{Header, Status};
 use std::io;
 
-pub const MOST_HEADERS: usize = 64;
-/// How much of a body is dealt with at a time; an amount that counts as progress.
-pub const PIECE: usize = 64 * 1024;
+/// The most headers that a message may have.
+pub const MAX_HEADERS: usize = 64;
+/// The most bytes of a body that one read takes. Each such block also counts as progress: timeouts start anew.
+pub const BLOCK_BYTES: usize = 64 * 1024;
 
-/// What a message may measure.
+/// Size limits of a message, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     pub head: usize,
@@ -16,13 +18,13 @@
 }
 
 impl Bounds {
-    /// A ring that holds so much can hold any head that is taken, and a piece of what follows.
-    pub fn held(&self) -> usize {
-        self.head + PIECE
+    /// The capacity of a receive buffer that can hold the largest accepted head and a block of what follows.
+    pub fn buffer_bytes(&self) -> usize {
+        self.head + BLOCK_BYTES
     }
 }
 
-/// What is wrong with a message, and the status that says so to a client.
+/// Why a message is invalid, and the status with which a client is told so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bad {
     pub status: u16,
@@ -33,40 +35,47 @@
     Bad { status: 400, what }
 }
 
-pub type Slots<'b> = [Header<'b>; MOST_HEADERS];
-pub const NO_HEADERS: Slots<'static> = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Space for the headers of a head that is parsed.
+pub type Slots<'b> = [Header<'b>; MAX_HEADERS];
+pub const NO_HEADERS: Slots<'static> = [httparse::EMPTY_HEADER; MAX_HEADERS];
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(usize),
     Chunked,
-    /// Up to the end of the connection.
+    /// The body ends with the connection.
     ToEnd,
 }
 
+/// The head of a request.
 #[derive(Debug)]
 pub struct Request<'h, 'b> {
     pub method: &'b str,
     pub target: &'b str,
     pub headers: &'h [Header<'b>],
-    /// Bytes of the head.
+    /// Length of the head in bytes.
     pub len: usize,
     pub framing: Framing,
+    /// The connection ends after this request.
     pub close: bool,
+    /// The client waits for `100 Continue` before it sends the body.
     pub wants_continue: bool,
 }
 
+/// The head of a response.
 #[derive(Debug)]
 pub struct Response<'h, 'b> {
     pub status: u16,
     pub headers: &'h [Header<'b>],
+    /// Length of the head in bytes.
     pub len: usize,
     pub framing: Framing,
+    /// The connection ends after this response.
     pub close: bool,
 }
 
-/// The head of a request, once it is there whole.
+/// Parses the head of a request; None while it is incomplete.
 pub fn request<'h, 'b>(
     buf: &'b [u8],
     slots: &'h mut Slots<'b>,
@@ -82,11 +91,11 @@
     };
     let headers: &'h [Header<'b>] = parsed.headers;
     let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
-    let common = common(headers, parsed.version == Some(0))?;
+    let common = parse_common(headers, parsed.version == Some(0))?;
     match headers.iter().filter(|h| h.name.eq_ignore_ascii_case("Host")).count() {
         0 if parsed.version == Some(1) => return Err(bad("no Host")),
         0 | 1 => {}
-        // Read in two ways by two machines, it would be routed as one request and run as another.
+        // Two machines could pick different ones: the request would be routed by one Host and run by the other.
         _ => return Err(bad("two Hosts")),
     }
     let framing = common.framing.unwrap_or(Framing::Length(0));
@@ -101,7 +110,8 @@
 
 const TOO_LARGE: Bad = Bad { status: 413, what: "body too large" };
 
-/// The head of an answer, once it is there whole; one to HEAD has no body, whatever it says.
+/// Parses the head of a response; None while it is incomplete. A response to HEAD has no body, whatever its headers
+/// say.
 pub fn response<'h, 'b>(
     buf: &'b [u8],
     slots: &'h mut Slots<'b>,
@@ -119,37 +129,38 @@
     if status < 100 {
         return Err(bad("no such status"));
     }
-    let mut common = common(headers, parsed.version == Some(0))?;
-    // It may not have a body. Should one follow all the same, its bytes must not meet the next request.
+    let mut common = parse_common(headers, parsed.version == Some(0))?;
+    // A 204 must not have a body. Should one follow all the same, its bytes must not be taken for the next response.
     common.close |= status == 204 && !matches!(common.framing, None | Some(Framing::Length(0)));
     let framing = match common.framing {
         _ if to_head || bodiless(status) => Framing::Length(0),
         Some(Framing::Length(n)) if n > bounds.body => return Err(TOO_LARGE),
         Some(framing) => framing,
-        // Connections stay open unless one side says otherwise: without that word it has no end that could be
-        // told.
+        // The connection stays open unless one side says otherwise, so the end of this body could not be determined.
         None if !common.close => return Err(bad("no length")),
         None => Framing::ToEnd,
     };
     Ok(Some(Response { status, headers, len, framing, close: common.close }))
 }
 
-/// An answer with this status has no body.
+/// A response with this status has no body.
 pub fn bodiless(status: u16) -> bool {
     status < 200 || status == 204 || status == 304
 }
 
+/// What the headers of requests and responses have in common.
 struct Common {
     framing: Option<Framing>,
     close: bool,
 }
 
-/// A body with two lengths could be read in two ways by two machines, so it is refused.
-fn common(headers: &[Header], old: bool) -> Result<Common, Bad> {
-    let (mut length, mut chunked, mut close) = (None, false, old);
+/// Parses framing and connection headers. A message with two lengths is refused: two machines could read its body in
+/// two ways.
+fn parse_common(headers: &[Header], http_1_0: bool) -> Result<Common, Bad> {
+    let (mut length, mut chunked, mut close) = (None, false, http_1_0);
     for h in headers {
         if h.name.eq_ignore_ascii_case("Content-Length") {
-            let n = number(h.value).ok_or(bad("malformed Content-Length"))?;
+            let n = parse_length(h.value).ok_or(bad("malformed Content-Length"))?;
             if length.is_some_and(|before| before != n) {
                 return Err(bad("two lengths"));
             }
@@ -160,25 +171,26 @@
             }
             chunked = true;
         } else if h.name.eq_ignore_ascii_case("Connection") {
-            for word in words(h.value) {
-                close = (close || word.eq_ignore_ascii_case(b"close"))
-                    && !word.eq_ignore_ascii_case(b"keep-alive");
+            for option in list_items(h.value) {
+                close = (close || option.eq_ignore_ascii_case(b"close"))
+                    && !option.eq_ignore_ascii_case(b"keep-alive");
             }
         }
     }
     match (length, chunked) {
         (Some(_), true) => Err(bad("two lengths")),
-        (None, true) if old => Err(bad("chunks in HTTP/1.0")),
+        (None, true) if http_1_0 => Err(bad("chunks in HTTP/1.0")),
         (None, true) => Ok(Common { framing: Some(Framing::Chunked), close }),
         (length, false) => Ok(Common { framing: length.map(Framing::Length), close }),
     }
 }
 
-fn words(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// The items of a comma-separated header value.
+fn list_items(value: &[u8]) -> impl Iterator<Item = &[u8]> {
     value.split(|b| *b == b',').map(<[u8]>::trim_ascii)
 }
 
-fn number(value: &[u8]) -> Option<usize> {
+fn parse_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?;
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return None;
@@ -186,26 +198,27 @@
     text.parse().ok()
 }
 
-/// A plain decimal: digits and a point, no sign, no exponent, nothing that is not a number.
+/// Parses a plain decimal number: digits and a point, no sign, no exponent, no `inf` or `NaN`.
 pub fn decimal(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    if plain { text.parse().ok() } else { None }
+    let is_plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    if is_plain { text.parse().ok() } else { None }
 }
 
-/// How long the other side says that it keeps an idle connection, in whole seconds.
-pub fn keep_alive(headers: &[Header]) -> Option<u64> {
+/// How long the peer says that it keeps an idle connection open, in whole seconds.
+pub fn keep_alive_timeout_s(headers: &[Header]) -> Option<u64> {
     let value = std::str::from_utf8(header(headers, "Keep-Alive")?).ok()?;
     value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
+/// The value of the first header of that name, in any case.
 pub fn header<'b>(headers: &[Header<'b>], name: &str) -> Option<&'b [u8]> {
     headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
 }
 
-/// Writes the headers that are meant for the other end: not those of one hop, nor the framing, which is made
-/// anew, nor those that `skip` names.
-pub fn pass_on(headers: &[Header], skip: &[&str], out: &mut Vec<u8>) {
-    const HOP: [&str; 10] = [
+/// Writes the end-to-end headers to `out`. Left out are hop-by-hop headers, framing headers, which are written anew,
+/// and those that `skip` names.
+pub fn copy_end_to_end_headers(headers: &[Header], skip: &[&str], out: &mut Vec<u8>) {
+    const HOP_BY_HOP: [&str; 10] = [
         "Connection",
         "Content-Length",
         "Expect",
@@ -220,8 +233,11 @@
     let named = header(headers, "Connection").unwrap_or(b"");
     for h in headers {
         let is = |n: &&str| n.eq_ignore_ascii_case(h.name);
-        let hop = HOP.iter().any(is) || skip.iter().any(is);
-        if hop || (!named.is_empty() && words(named).any(|w| w.eq_ignore_ascii_case(h.name.as_bytes()))) {
+        let left_out = HOP_BY_HOP.iter().any(is) || skip.iter().any(is);
+        if left_out
+            || (!named.is_empty()
+                && list_items(named).any(|item| item.eq_ignore_ascii_case(h.name.as_bytes())))
+        {
             continue;
         }
         out.extend_from_slice(h.name.as_bytes());
@@ -231,122 +247,130 @@
     }
 }
 
-/// A body on its way in.
+/// A body that is being received.
 #[derive(Debug)]
 pub struct Body {
-    state: Part,
-    lines: usize,
-    most: usize,
+    state: BodyState,
+    /// Bytes of the lines around chunks that were read so far.
+    line_bytes: usize,
+    max_bytes: usize,
     pub content: Vec<u8>,
 }
 
 #[derive(Debug, PartialEq)]
-enum Part {
+enum BodyState {
+    /// So many bytes are still to come, of a body of known length.
     Left(usize),
     ToEnd,
-    Size,
+    ChunkSize,
+    /// So many bytes of this chunk are still to come.
     Chunk(usize),
     ChunkEnd,
     Trailer,
     Done,
 }
 
-/// The longest line between chunks that is read, and all such lines of a body together: a body that brings
-/// little and never ends must not be read for ever.
-const MOST_LINE: usize = 1024;
-const LINES_PART: usize = 8;
-/// Room made for a body before any of it has come: its claimed length may be a lie.
-const TRUSTED: usize = 4096;
-/// With so much to come it is read without a ring in between.
-const DIRECT: usize = 16 * 1024;
+/// The longest size or trailer line of a chunked body, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
+/// All such lines of a body together may be so many times as long as the largest allowed body: a chunked body that
+/// brings little content and never ends must not be read for ever.
+const MAX_LINE_BYTES_FACTOR: usize = 8;
+/// Bytes reserved for a body before any of it has come, as its claimed length may be false.
+const MAX_INITIAL_CAPACITY_BYTES: usize = 4096;
+/// With at least so many bytes still to come, a body is read directly instead of through a ring buffer.
+const MIN_DIRECT_READ_BYTES: usize = 16 * 1024;
 
 impl Body {
     pub fn new(framing: Framing, bounds: Bounds) -> Body {
-        let (state, room) = match framing {
-            Framing::Length(0) => (Part::Done, 0),
-            Framing::Length(n) => (Part::Left(n), n.min(TRUSTED)),
-            Framing::Chunked => (Part::Size, 0),
-            Framing::ToEnd => (Part::ToEnd, 0),
+        let (state, capacity) = match framing {
+            Framing::Length(0) => (BodyState::Done, 0),
+            Framing::Length(n) => (BodyState::Left(n), n.min(MAX_INITIAL_CAPACITY_BYTES)),
+            Framing::Chunked => (BodyState::ChunkSize, 0),
+            Framing::ToEnd => (BodyState::ToEnd, 0),
         };
-        Body { state, lines: 0, most: bounds.body, content: Vec::with_capacity(room) }
+        Body { state, line_bytes: 0, max_bytes: bounds.body, content: Vec::with_capacity(capacity) }
     }
 
     pub fn done(&self) -> bool {
-        self.state == Part::Done
+        self.state == BodyState::Done
     }
 
-    /// The connection has ended: the body is whole if that is how its end is told.
+    /// To be called when the connection has ended: completes a body that ends with the connection.
     pub fn end(&mut self) {
-        if self.state == Part::ToEnd {
-            self.state = Part::Done;
+        if self.state == BodyState::ToEnd {
+            self.state = BodyState::Done;
         }
     }
 
-    /// One call of `read` into the body itself, where much of it is still to come. None where it comes by
-    /// `take`: then nothing was read.
+    /// Calls `read` once, directly into the body, if much of it is still to come. Otherwise reads nothing and returns
+    /// None: the bytes are to be passed to `take`.
     pub fn fill(&mut self, read: impl FnOnce(&mut [u8]) -> io::Result<usize>) -> io::Result<Option<Filled>> {
-        let Part::Left(left) = self.state else { return Ok(None) };
-        let (at, room) = (self.content.len(), left.min(PIECE));
-        if left < DIRECT || room > self.most.saturating_sub(at) {
+        let BodyState::Left(left) = self.state else { return Ok(None) };
+        let (at, room) = (self.content.len(), left.min(BLOCK_BYTES));
+        if left < MIN_DIRECT_READ_BYTES || room > self.max_bytes.saturating_sub(at) {
             return Ok(None);
         }
         if self.content.capacity() < at + room {
-            // Doubled, as its claimed length may be a lie, but never beyond that.
+            // Doubled instead of reserved whole, as the claimed length may be false; never beyond that length.
             self.content.reserve_exact(left.min(at.max(room)));
         }
         self.content.resize(at + room, 0);
         let got = read(&mut self.content[at..]);
         let n = *got.as_ref().unwrap_or(&0);
         self.content.truncate(at + n);
-        self.state = if n == left { Part::Done } else { Part::Left(left - n) };
+        self.state = if n == left { BodyState::Done } else { BodyState::Left(left - n) };
         got.map(|bytes| Some(Filled { bytes, full: bytes == room }))
     }
 
-    /// Takes what belongs to the body from the front of `input` and tells how much that was.
+    /// Consumes the bytes at the front of `input` that belong to the body, and returns how many they were.
     pub fn take(&mut self, input: &[u8]) -> Result<usize, Bad> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
             match self.state {
-                Part::Done => return Ok(used),
-                Part::Left(n) | Part::Chunk(n) => {
+                BodyState::Done => return Ok(used),
+                BodyState::Left(n) | BodyState::Chunk(n) => {
                     let now = n.min(rest.len());
                     self.add(&rest[..now])?;
                     used += now;
-                    let chunk = matches!(self.state, Part::Chunk(_));
+                    let chunk = matches!(self.state, BodyState::Chunk(_));
                     self.state = match (n - now, chunk) {
-                        (0, true) => Part::ChunkEnd,
-                        (0, false) => Part::Done,
-                        (left, true) => Part::Chunk(left),
-                        (left, false) => Part::Left(left),
+                        (0, true) => BodyState::ChunkEnd,
+                        (0, false) => BodyState::Done,
+                        (left, true) => BodyState::Chunk(left),
+                        (left, false) => BodyState::Left(left),
                     };
                     if n > now {
                         return Ok(used);
                     }
                 }
-                Part::ToEnd => {
+                BodyState::ToEnd => {
                     self.add(rest)?;
                     return Ok(input.len());
                 }
-                Part::Size | Part::ChunkEnd | Part::Trailer => {
-                    let Some(end) = rest.iter().take(MOST_LINE).position(|b| *b == b'\n') else {
-                        return if rest.len() >= MOST_LINE { Err(bad("long chunk line")) } else { Ok(used) };
+                BodyState::ChunkSize | BodyState::ChunkEnd | BodyState::Trailer => {
+                    let Some(end) = rest.iter().take(MAX_CHUNK_LINE_BYTES).position(|b| *b == b'\n') else {
+                        return if rest.len() >= MAX_CHUNK_LINE_BYTES {
+                            Err(bad("long chunk line"))
+                        } else {
+                            Ok(used)
+                        };
                     };
                     let line = rest[..end].trim_ascii();
                     used += end + 1;
-                    self.lines += end + 1;
-                    if self.lines > self.most.saturating_mul(LINES_PART) {
+                    self.line_bytes += end + 1;
+                    if self.line_bytes > self.max_bytes.saturating_mul(MAX_LINE_BYTES_FACTOR) {
                         return Err(bad("too many chunks"));
                     }
                     self.state = match self.state {
-                        Part::Size => match chunk_size(line)? {
-                            0 => Part::Trailer,
-                            n => Part::Chunk(n),
+                        BodyState::ChunkSize => match chunk_size(line)? {
+                            0 => BodyState::Trailer,
+                            n => BodyState::Chunk(n),
                         },
-                        Part::ChunkEnd if line.is_empty() => Part::Size,
-                        Part::ChunkEnd => return Err(bad("chunk longer than its size")),
-                        _ if line.is_empty() => Part::Done,
-                        _ => Part::Trailer,
+                        BodyState::ChunkEnd if line.is_empty() => BodyState::ChunkSize,
+                        BodyState::ChunkEnd => return Err(bad("chunk longer than its size")),
+                        _ if line.is_empty() => BodyState::Done,
+                        _ => BodyState::Trailer,
                     };
                 }
             }
@@ -354,7 +378,7 @@
     }
 
     fn add(&mut self, bytes: &[u8]) -> Result<(), Bad> {
-        if bytes.len() > self.most.saturating_sub(self.content.len()) {
+        if bytes.len() > self.max_bytes.saturating_sub(self.content.len()) {
             return Err(TOO_LARGE);
         }
         self.content.extend_from_slice(bytes);
@@ -371,6 +395,7 @@
     usize::from_str_radix(text, 16).map_err(|_| bad("malformed chunk size"))
 }
 
+/// The reason phrase of a status line.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -470,7 +495,7 @@
         let mut slots = NO_HEADERS;
         let head = response(text, &mut slots, BOUNDS, false).expect("good").expect("whole");
         let mut out = Vec::new();
-        pass_on(head.headers, &["X-Skip"], &mut out);
+        copy_end_to_end_headers(head.headers, &["X-Skip"], &mut out);
         assert_eq!(out, b"X-End: 2\r\n");
         assert!(head.close);
     }
@@ -482,11 +507,13 @@
         assert!(body.take(&chunk).is_ok());
         assert!(body.take(&chunk).is_err());
         let mut endless = Body::new(Framing::Chunked, BOUNDS);
-        assert!(endless.take(&[b'1'; MOST_LINE + 1]).is_err());
+        assert!(endless.take(&[b'1'; MAX_CHUNK_LINE_BYTES + 1]).is_err());
         let mut trailers = Body::new(Framing::Chunked, BOUNDS);
         assert!(trailers.take(b"0\r\n").is_ok());
         let lines = b"X-Trailer: more of it\r\n".repeat(1000);
         assert!((0..1000).any(|_| trailers.take(&lines).is_err()), "trailers without end");
-        assert!(Body::new(Framing::Length(usize::MAX), BOUNDS).content.capacity() <= TRUSTED);
+        assert!(
+            Body::new(Framing::Length(usize::MAX), BOUNDS).content.capacity() <= MAX_INITIAL_CAPACITY_BYTES
+        );
     }
 }
--- a/crates/net/src/listener/connection.rs
+++ b/crates/net/src/listener/connection.rs
@@ -297,8 +297,8 @@
     /// Shows the others what this connection is doing, and since when.
     fn show(&mut self) {
         let doing = self.doing();
-        let more = self.moved >= http::PIECE;
-        self.moved %= http::PIECE;
+        let more = self.moved >= http::BLOCK_BYTES;
+        self.moved %= http::BLOCK_BYTES;
         if self.known.doing.swap(doing as u8, Ordering::Relaxed) != doing as u8 || more {
             // One reading of the clock for each request, where it ends.
             let since = if doing == Doing::Waiting { 0 } else { self.all.room.clock.now() };
@@ -337,7 +337,7 @@
             if !self.more || self.ended || self.closing || self.deaf || self.paused {
                 return;
             }
-            let most = if !self.line.is_empty() { AHEAD } else { self.all.desk.bounds().held() };
+            let most = if !self.line.is_empty() { AHEAD } else { self.all.desk.bounds().buffer_bytes() };
             match self.fill(most) {
                 Ok(None) => {
                     self.ended |= self.hung && !self.line.is_empty(); // its end stands behind more than we hold
@@ -431,7 +431,7 @@
         let expected = match head.framing {
             Framing::Length(n) => n,
             // How much it brings is not known; the leave grows with it.
-            _ => http::PIECE.min(bounds.body),
+            _ => http::BLOCK_BYTES.min(bounds.body),
         };
         let (mut body, mut lease) = (Body::new(head.framing, bounds), None);
         match &mut heard {
@@ -546,7 +546,7 @@
             self.paced = Some(Paced { body: answer.body, gone: 0, piece, every_us });
             self.piece();
         } else {
-            self.outgoing.push_held(answer.body);
+            self.outgoing.push_bytes(answer.body);
         }
     }
 
--- a/crates/net/src/pool/exchange.rs
+++ b/crates/net/src/pool/exchange.rs
@@ -155,7 +155,7 @@
         lines.extend_from_slice(b"\r\n");
         out.push(&lines);
         self.head = out.len();
-        out.push_held(Bytes::Shared(passage.clone()));
+        out.push_bytes(Bytes::Shared(passage.clone()));
         self.written = 0;
     }
 
@@ -219,7 +219,7 @@
         {
             return Ok(Some(filled));
         }
-        self.incoming.fill(self.bounds.held(), |room| socket.read(room))
+        self.incoming.fill(self.bounds.buffer_bytes(), |room| socket.read(room))
     }
 
     /// Makes what it can of the bytes at hand: the attempt's whole answer, and how long the connection is kept
@@ -277,7 +277,7 @@
             self.answer = Some(Reply {
                 status: head.status,
                 close: head.close,
-                keep_us: http::keep_alive(head.headers).map(|s| s.saturating_mul(1_000_000)),
+                keep_us: http::keep_alive_timeout_s(head.headers).map(|s| s.saturating_mul(1_000_000)),
                 said,
                 body: Body::new(head.framing, self.bounds),
             });
@@ -293,7 +293,7 @@
         if self.job.is_none() || (self.answer.is_none() && self.incoming.is_empty()) {
             return Ok(None);
         }
-        if self.moved >= http::PIECE {
+        if self.moved >= http::BLOCK_BYTES {
             (self.moved, self.whole_by) = (0, None);
         }
         let set = self.whole_by.is_none().then_some(self.answer_us + 1);
--- a/crates/net/src/ring.rs
+++ b/crates/net/src/ring.rs
@@ -1,31 +1,32 @@
-//! One ring buffer for each connection and direction: small at first, grown for a large message, small again
-//! once it is empty. A thousand quiet connections must not hold the memory of a thousand large messages.
+//! Ring buffers, one for each connection and direction. A buffer starts small, grows for a large message, and is small
+//! again once it is empty: a thousand idle connections must not hold the memory of a thousand large messages.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 use std::sync::Arc;
 
-/// Most answers fit, so that one read takes them.
-const START: usize = 4096;
-/// The most that one read takes of a long message.
-const MOST_STEP: usize = 64 * 1024;
-/// An empty ring larger than this gives its memory back.
-const KEEP: usize = 4096;
+/// Buffers grow in steps of so many bytes. Most responses fit in one step, so that one read takes them.
+const STEP_BYTES: usize = 4096;
+/// The most bytes that are reserved in an empty buffer for the next read.
+const MAX_READ_BYTES: usize = 64 * 1024;
+/// An empty buffer larger than this frees its memory.
+const MAX_EMPTY_BYTES: usize = 4096;
 
+/// A ring buffer of bytes.
 #[derive(Default)]
 pub struct Ring {
     store: Vec<u8>,
     head: usize,
     len: usize,
-    /// What the next read may bring, if nothing is held: more after reads that used all their room.
-    step: usize,
+    /// Space to reserve for the next read into the empty buffer: more after reads that used all their space.
+    next_read: usize,
 }
 
-/// What one read brought.
+/// The result of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Filled {
     pub bytes: usize,
-    /// All the room was used: there may be more to read.
+    /// The read used all the space it had, so there may be more to read.
     pub full: bool,
 }
 
@@ -34,7 +35,7 @@
         self.len == 0
     }
 
-    /// What is held, in one piece.
+    /// The buffered bytes, as one slice.
     pub fn bytes(&mut self) -> &[u8] {
         if self.head + self.len > self.store.len() {
             self.store.rotate_left(self.head);
@@ -47,7 +48,7 @@
         let n = n.min(self.len);
         self.len -= n;
         self.head = if self.len == 0 { 0 } else { (self.head + n) % self.store.len() };
-        if self.len == 0 && self.store.len() > KEEP {
+        if self.len == 0 && self.store.len() > MAX_EMPTY_BYTES {
             self.store = Vec::new();
         }
     }
@@ -65,53 +66,53 @@
         self.len
     }
 
-    /// Grows to whole steps, not beyond: a large message must not hold twice its size.
+    /// Grows to the next multiple of the step instead of doubling: a large message must not take twice its size.
     fn reserve(&mut self, need: usize) {
         if need > self.store.len() {
             self.bytes();
             self.store.copy_within(self.head..self.head + self.len, 0);
             self.head = 0;
-            self.store.resize(need.next_multiple_of(START), 0);
+            self.store.resize(need.next_multiple_of(STEP_BYTES), 0);
         }
     }
 
-    /// One call of `read` into the free room; the ring grows to hold `most` bytes at the most. Without room
-    /// nothing is read.
+    /// Calls `read` once, into the free space; the buffer grows as needed, to hold up to `max` bytes. Returns None
+    /// without reading if it already holds that many.
     pub fn fill(
         &mut self,
-        most: usize,
+        max: usize,
         mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
     ) -> io::Result<Option<Filled>> {
-        if self.len >= most {
+        if self.len >= max {
             return Ok(None);
         }
         if self.len == self.store.len() {
             self.reserve(self.len * 2 + 1);
         }
         if self.len == 0 {
-            self.reserve(self.step.min(most));
+            self.reserve(self.next_read.min(max));
         }
-        let (cap, tail) = (self.store.len(), (self.head + self.len) % self.store.len());
-        let end = if tail < self.head { self.head } else { cap };
-        let end = end.min(tail + (most - self.len));
+        let (capacity, tail) = (self.store.len(), (self.head + self.len) % self.store.len());
+        let end = if tail < self.head { self.head } else { capacity };
+        let end = end.min(tail + (max - self.len));
         let bytes = read(&mut self.store[tail..end])?;
         self.len += bytes;
         let full = bytes == end - tail;
-        self.step = if full { (2 * cap).min(MOST_STEP) } else { START };
+        self.next_read = if full { (2 * capacity).min(MAX_READ_BYTES) } else { STEP_BYTES };
         Ok(Some(Filled { bytes, full }))
     }
 }
 
-/// Bytes to be sent, by one holder or by several.
+/// Bytes to be sent, owned or shared.
 pub enum Bytes {
-    Own(Vec<u8>),
+    Owned(Vec<u8>),
     Shared(Arc<dyn AsRef<[u8]> + Send + Sync>),
 }
 
 impl AsRef<[u8]> for Bytes {
     fn as_ref(&self) -> &[u8] {
         match self {
-            Bytes::Own(bytes) => bytes,
+            Bytes::Owned(bytes) => bytes,
             Bytes::Shared(bytes) => (**bytes).as_ref(),
         }
     }
@@ -119,7 +120,7 @@
 
 impl From<Vec<u8>> for Bytes {
     fn from(bytes: Vec<u8>) -> Bytes {
-        Bytes::Own(bytes)
+        Bytes::Owned(bytes)
     }
 }
 
@@ -129,17 +130,18 @@
     }
 }
 
-/// What waits to be sent on one connection: a ring, and large pieces in between that are not copied into it.
+/// The send queue of a connection: a ring buffer, and large pieces in between that are not copied into it.
 #[derive(Default)]
 pub struct Outgoing {
     ring: Ring,
-    /// Pieces, each with how much of the ring goes before it, and how much of it has gone.
+    /// The pieces in order, each with the number of ring bytes sent between the previous piece and this one, and the
+    /// number of its own bytes already sent.
     large: VecDeque<(usize, Bytes, usize)>,
     len: usize,
 }
 
-/// Smaller pieces are copied into the ring, to go out with what stands before them.
-const LARGE: usize = 16 * 1024;
+/// Pieces smaller than this are copied into the ring, to be sent in one write with what precedes them.
+const MIN_LARGE_BYTES: usize = 16 * 1024;
 
 impl Outgoing {
     pub fn is_empty(&self) -> bool {
@@ -155,25 +157,26 @@
         self.len += bytes.len();
     }
 
-    pub fn push_held(&mut self, bytes: Bytes) {
+    /// Queues bytes; large ones are kept as they are instead of copied.
+    pub fn push_bytes(&mut self, bytes: Bytes) {
         let length = bytes.as_ref().len();
-        if length < LARGE {
+        if length < MIN_LARGE_BYTES {
             return self.push(bytes.as_ref());
         }
-        let placed: usize = self.large.iter().map(|(before, ..)| before).sum();
-        self.large.push_back((self.ring.len() - placed, bytes, 0));
+        let assigned: usize = self.large.iter().map(|(before, ..)| before).sum();
+        self.large.push_back((self.ring.len() - assigned, bytes, 0));
         self.len += length;
     }
 
-    /// Writes as much as the socket takes now. What was taken is dropped, also when an error follows.
+    /// Writes as much as the socket accepts now. Written bytes leave the queue even if an error follows.
     pub fn flush(&mut self, mut socket: impl io::Write) -> io::Result<()> {
         while !self.is_empty() {
-            let wrote = match self.large.front() {
-                Some((0, bytes, gone)) => socket.write(&bytes.as_ref()[*gone..]),
+            let written = match self.large.front() {
+                Some((0, bytes, sent)) => socket.write(&bytes.as_ref()[*sent..]),
                 Some((before, ..)) => socket.write(&self.ring.bytes()[..*before]),
                 None => socket.write(self.ring.bytes()),
             };
-            match wrote {
+            match written {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => self.consume(n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
@@ -187,9 +190,9 @@
     fn consume(&mut self, n: usize) {
         self.len -= n;
         match self.large.front_mut() {
-            Some((0, bytes, gone)) => {
-                *gone += n;
-                if *gone == bytes.as_ref().len() {
+            Some((0, bytes, sent)) => {
+                *sent += n;
+                if *sent == bytes.as_ref().len() {
                     self.large.pop_front();
                 }
             }
@@ -256,10 +259,10 @@
         ring.consume(99_999);
         assert!(ring.store.len() >= 100_000);
         ring.consume(1);
-        assert!(ring.store.len() <= KEEP);
+        assert!(ring.store.len() <= MAX_EMPTY_BYTES);
     }
 
-    /// A socket that takes a few bytes at a time, and at times none.
+    /// A socket that accepts a limited number of bytes per write, and none in every third.
     struct Slow(Vec<u8>, usize);
 
     impl io::Write for Slow {
@@ -282,9 +285,9 @@
     fn large_pieces_go_out_in_their_place() {
         let (mut out, mut all, mut slow) = (Outgoing::default(), Vec::new(), Slow(Vec::new(), 0));
         for n in 0..40_usize {
-            let piece = vec![n as u8; [10, LARGE, 3 * LARGE + 1, 5000][n % 4]];
+            let piece = vec![n as u8; [10, MIN_LARGE_BYTES, 3 * MIN_LARGE_BYTES + 1, 5000][n % 4]];
             all.extend_from_slice(&piece);
-            out.push_held(piece.into());
+            out.push_bytes(piece.into());
             out.flush(&mut slow).expect("nothing fails");
         }
         while !out.is_empty() {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -200,7 +200,7 @@
         let key = text("Authorization").and_then(|v| v.split_once(' '));
         let key = key.filter(|(kind, _)| kind.eq_ignore_ascii_case("Token"));
         let mut lines = Vec::with_capacity(head.len);
-        http::pass_on(head.headers, &HELD_BACK, &mut lines);
+        http::copy_end_to_end_headers(head.headers, &HELD_BACK, &mut lines);
         Ok(Heard::Take(Ask {
             id: 0,
             method: head.method.to_string(),
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -53,7 +53,11 @@
             return Heard::Surplus;
         }
         let mut headers = Vec::new();
-        http::pass_on(head.headers, &["X-Not-Executed", "X-Instance-Id", "X-Cold-Time"], &mut headers);
+        http::copy_end_to_end_headers(
+            head.headers,
+            &["X-Not-Executed", "X-Instance-Id", "X-Cold-Time"],
+            &mut headers,
+        );
         let not_run = http::header(head.headers, "X-Not-Executed").is_some();
         Heard::Mine(AnswerInfo { not_run, headers })
     }
