--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -6,7 +6,7 @@
 use net::Micros;
 use net::http::{self, Bad, Bounds, Framing};
 use net::limits::BufferedBody;
-use net::listener::{Answer, Desk, Heard, Patience, Reply};
+use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Reply};
 use net::pool::Passage;
 use std::sync::Arc;
 
@@ -33,32 +33,32 @@
 
 pub struct ClientHandler(pub Arc<Shared>);
 
-impl Desk for ClientHandler {
-    type Ask = Box<ClientRequest>;
+impl Handler for ClientHandler {
+    type Request = Box<ClientRequest>;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
     }
 
-    fn patience(&self) -> Patience {
-        Patience {
-            first_us: Some(FIRST_US),
+    fn timeouts(&self) -> ClientTimeouts {
+        ClientTimeouts {
+            first_request_us: Some(FIRST_US),
             read_us: READ_US,
             write_us: WRITE_US,
-            once_idle_us: ONCE_IDLE_US,
+            idle_after_one_us: ONCE_IDLE_US,
             idle_us: IDLE_US,
         }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Box<ClientRequest>>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<Box<ClientRequest>>, Bad> {
         let shared = &self.0;
         if head.target != HEALTH && head.target != STATS {
-            return request::read(shared, head).map(|request| Heard::Take(Box::new(request)));
+            return request::read(shared, head).map(|request| HeadAction::Accept(Box::new(request)));
         }
         if head.framing != Framing::Length(0) {
             return Err(Bad { status: 400, what: "unexpected body" });
         }
-        Ok(Heard::Say(if head.target == STATS {
+        Ok(HeadAction::Answer(if head.target == STATS {
             Answer::text(200, format!("{}\n", shared.stats()))
         } else if shared.ready() {
             Answer::text(200, "ready\n")
@@ -67,7 +67,7 @@
         }))
     }
 
-    fn asked(&self, id: u64, mut request: Box<ClientRequest>, body: BufferedBody, reply: Reply) {
+    fn handle(&self, id: u64, mut request: Box<ClientRequest>, body: BufferedBody, reply: Reply) {
         // Up to here `until` is the time allowed, which counts from the last byte of the request.
         request.until += self.0.room.clock.now();
         request.id = id;
@@ -76,7 +76,7 @@
         self.0.decisions.post(DecisionMessage::Request(request));
     }
 
-    fn withdrawn(&self, id: u64) {
+    fn client_gone(&self, id: u64) {
         self.0.decisions.post(DecisionMessage::Withdrawn { id });
     }
 
@@ -89,11 +89,11 @@
         Answer::text(bad.status, format!("{}{line_end}", bad.what))
     }
 
-    fn unheard(&self) -> Option<Bad> {
+    fn close_before_request(&self) -> Option<Bad> {
         Some(NO_REQUEST_YET)
     }
 
-    fn crowded(&self) {
+    fn descriptors_exhausted(&self) {
         self.0.decisions.post(DecisionMessage::DescriptorsExhausted);
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -17,7 +17,7 @@
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
 use net::clock::{Alarm, Alarms, Clock};
-use net::listener::Door;
+use net::listener::Listener;
 use shared::Shared;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -81,7 +81,7 @@
     let shared = Arc::new(shared);
     let listen = shared.config.listen;
     let handler = Arc::new(clients::ClientHandler(shared.clone()));
-    let clients = Door::start(listen, shared.room.clone(), handler)
+    let clients = Listener::start(listen, shared.room.clone(), handler)
         .map_err(|e| cannot(&format!("listen on {listen}"), e))?;
     let (drained, drained_receiver) = std::sync::mpsc::channel();
     signals::start(shared.clone(), clients, signals, drained).map_err(|e| cannot("watch for signals", e))?;
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -105,7 +105,7 @@
         self.0.decisions.post(DecisionMessage::AttemptEnded(end));
     }
 
-    fn crowded(&self) {
+    fn descriptors_exhausted(&self) {
         self.0.decisions.post(DecisionMessage::DescriptorsExhausted);
     }
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -7,7 +7,7 @@
 use curlewfront::Micros;
 use curlewfront_config::Config;
 use net::clock::Alarm;
-use net::listener::Door;
+use net::listener::Listener;
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
 use std::io;
@@ -21,7 +21,7 @@
 
 pub fn start(
     shared: Arc<Shared>,
-    clients: Arc<Door<ClientHandler>>,
+    clients: Arc<Listener<ClientHandler>>,
     mut signals: Signals,
     drained: Sender<()>,
 ) -> io::Result<()> {
@@ -63,7 +63,7 @@
     }
 }
 
-fn drain(shared: &Shared, mut alarm: Alarm, clients: &Door<ClientHandler>, drained: &Sender<()>) {
+fn drain(shared: &Shared, mut alarm: Alarm, clients: &Listener<ClientHandler>, drained: &Sender<()>) {
     let signalled_at = shared.room.clock.now();
     slog::info!(shared.log, "asked to end: serving what comes, closing connections");
     loop {
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,6 +1,7 @@
-//! A listener and its clients: an actor with one coroutine for each connection. A connection carries one
-//! request at a time; a well-formed one is handed to the desk behind the listener, which answers it once.
-//! Malformed ones are answered here and never reach it.
+//! A listener and its client connections: one actor that accepts, and one coroutine for each connection. A
+//! well-formed request is passed to the listener's [`Handler`], which answers it once. Malformed requests are answered
+//! here and never reach the handler. A connection has one request under way at a time, unless the handler allows
+//! pipelining.
 
 mod connection;
 #[cfg(test)]
@@ -21,69 +22,70 @@
 use std::sync::atomic::{AtomicBool, AtomicU8, AtomicU32, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What stands behind a listener: reads its clients' requests its own way and answers them. All calls come on
-/// the coroutines' thread and on a small stack, so they are short and plain; what is not is answered later,
-/// by the `Reply`.
-pub trait Desk: Send + Sync + 'static {
-    /// A request's head as this desk read it.
-    type Ask: Send + 'static;
+/// Interprets and answers the requests of a listener's clients. All calls are made on the coroutines' thread and on a
+/// small stack, so they must be short and must not block. A request that takes longer is answered later, through its
+/// `Reply`.
+pub trait Handler: Send + Sync + 'static {
+    /// What this handler reads from the head of a request.
+    type Request: Send + 'static;
 
-    /// What a request may measure; asked for each, so it may change.
+    /// The size limits of requests; read for each request, so they may change.
     fn bounds(&self) -> Bounds;
 
-    /// How long clients may take; asked again and again, so it may change.
-    fn patience(&self) -> Patience;
+    /// The timeouts of client connections; read repeatedly, so they may change.
+    fn timeouts(&self) -> ClientTimeouts;
 
-    /// The head is whole. An error is answered by `refusal`, and ends the connection.
-    fn head(&self, head: &http::Request) -> Result<Heard<Self::Ask>, Bad>;
+    /// Called with each complete head. An error is answered with `refusal` and ends the connection.
+    fn head(&self, head: &http::Request) -> Result<HeadAction<Self::Request>, Bad>;
 
-    /// The request is whole. `id` is its own among all requests of all listeners of one `Resources`.
-    fn asked(&self, id: u64, ask: Self::Ask, body: BufferedBody, reply: Reply);
+    /// Called with each complete request. `id` is unique among all listeners that share one `Resources`.
+    fn handle(&self, id: u64, request: Self::Request, body: BufferedBody, reply: Reply);
 
-    /// So many requests of one connection may be under way at once, where they are GET or HEAD without a body and the
-    /// client sends them before it has its answers.
-    fn abreast(&self) -> usize {
+    /// How many pipelined requests of one connection may be under way at once, if they are GET or HEAD without a body.
+    /// Other requests are always handled one at a time.
+    fn max_pipelined(&self) -> usize {
         1
     }
 
-    /// The client has gone before its answer.
-    fn withdrawn(&self, id: u64);
+    /// The client has disconnected, or was disconnected, before its request was answered.
+    fn client_gone(&self, id: u64);
 
-    /// Answers from now on end their connections, and idle ones are closed after half a second.
+    /// While true, each answer closes its connection, and idle connections are closed after half a second.
     fn draining(&self) -> bool;
 
-    /// The answer to a request that the listener itself turns away: malformed, too large, late (408), without
-    /// room for it (503), or left without an answer (500, 502).
+    /// The answer to a request that the listener itself refuses: malformed, too large, too slow (408), over the limits
+    /// on memory or descriptors (503), or dropped without an answer (500, 502).
     fn refusal(&self, bad: &Bad) -> Answer;
 
-    /// What a client is told whose connection ends before it has brought any request; by default nothing.
-    fn unheard(&self) -> Option<Bad> {
+    /// The error sent on a connection that is closed before its first request, if any.
+    fn close_before_request(&self) -> Option<Bad> {
         None
     }
 
-    /// No descriptor is left for clients: others are to give way.
-    fn crowded(&self) {}
+    /// No descriptor is left for a new client connection; the program should close idle connections elsewhere.
+    fn descriptors_exhausted(&self) {}
 }
 
-/// What a desk makes of a request's head.
-pub enum Heard<Ask> {
-    /// The body is read, then `Desk::asked` is called.
-    Take(Ask),
-    /// Answered at once. A body that is small is read and dropped first; else the connection ends.
-    Say(Answer),
+/// What a handler decides on the head of a request.
+pub enum HeadAction<Request> {
+    /// Read the body, then call `Handler::handle`.
+    Accept(Request),
+    /// Answer at once. A small body is read and dropped first; with a larger one the connection ends.
+    Answer(Answer),
 }
 
+/// A response to a client.
 pub struct Answer {
     pub status: u16,
-    /// Whole lines, "Name: value\r\n", without framing and `Connection`.
+    /// Complete lines, "Name: value\r\n", without the framing headers and `Connection`.
     pub headers: Vec<u8>,
-    /// BufferedBody until it is written, never copied if it is large. Not sent to HEAD nor with 204 and 304.
+    /// Kept until it is written; not copied if it is large. Not sent in response to HEAD or with 204 and 304.
     pub body: Bytes,
-    /// The connection ends in the middle of its body; where that is empty, without anything.
+    /// The connection is closed in the middle of the body; if the body is empty, before any byte of the answer.
     pub cut: bool,
-    /// The body goes out in pieces over so long; 0: at once.
+    /// The body is sent in pieces over this time; 0: at once.
     pub pace_us: Micros,
-    /// The connection ends after it. So it does where the client asks for it, and while the desk is draining.
+    /// The connection ends after this answer. It also does if the client asks for that or the handler is draining.
     pub close: bool,
 }
 
@@ -92,7 +94,7 @@
         Answer { status, headers, body: body.into(), cut: false, pace_us: 0, close: false }
     }
 
-    /// An answer in plain text.
+    /// A plain-text answer.
     pub fn text(status: u16, text: impl Into<Vec<u8>>) -> Answer {
         let text = text.into();
         let headers = if text.is_empty() { Vec::new() } else { b"Content-Type: text/plain\r\n".to_vec() };
@@ -100,367 +102,386 @@
     }
 }
 
-/// Where the one answer to a request goes, from any thread. Dropped without one, the request is answered by
-/// `Desk::refusal` with 502.
+/// The handle through which a request is answered once, from any thread. If it is dropped unused, the request is
+/// answered with `Handler::refusal` and status 502.
 pub struct Reply {
     id: u64,
-    to: To,
+    target: ReplyTarget,
 }
 
-enum To {
-    Conn(Arc<Mailbox<ToClient>>),
-    Call(Box<dyn FnOnce(Answer) + Send + Sync>),
-    Nobody,
+enum ReplyTarget {
+    Connection(Arc<Mailbox<ToConnection>>),
+    Callback(Box<dyn FnOnce(Answer) + Send + Sync>),
+    /// The answer was sent already.
+    None,
 }
 
 impl Reply {
-    /// Hands the answer to `call`: for a request that came by no listener.
+    /// Passes the answer to `call`, for a request that did not come through a listener.
     pub fn call(id: u64, call: impl FnOnce(Answer) + Send + Sync + 'static) -> Reply {
-        Reply { id, to: To::Call(Box::new(call)) }
+        Reply { id, target: ReplyTarget::Callback(Box::new(call)) }
     }
 
-    /// Passed over where the client has gone.
+    /// Sends the answer; it is ignored if the client has disconnected.
     pub fn send(mut self, answer: Answer) {
-        match std::mem::replace(&mut self.to, To::Nobody) {
-            To::Conn(inbox) => inbox.post(ToClient::Answer { id: self.id, answer }),
-            To::Call(call) => call(answer),
-            To::Nobody => {}
+        match std::mem::replace(&mut self.target, ReplyTarget::None) {
+            ReplyTarget::Connection(inbox) => inbox.post(ToConnection::Answer { id: self.id, answer }),
+            ReplyTarget::Callback(call) => call(answer),
+            ReplyTarget::None => {}
         }
     }
 }
 
 impl Drop for Reply {
     fn drop(&mut self) {
-        if let To::Conn(inbox) = &self.to {
-            inbox.post(ToClient::Lost { id: self.id });
+        if let ReplyTarget::Connection(inbox) = &self.target {
+            inbox.post(ToConnection::Dropped { id: self.id });
         }
     }
 }
 
-/// How long clients may take. A request or an answer on its way has the time again with each 64 KB of it.
+/// Timeouts of client connections. The time for a request to be received or for an answer to be written starts anew
+/// with each 64 KB transferred.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Within so long a new connection must have brought its first whole request; None: it is as any other.
-    pub first_us: Option<Micros>,
-    /// For a request to be whole once a part of it has come.
+pub struct ClientTimeouts {
+    /// Time from the connection's start until its first request is complete. None: `idle_us` and `read_us` apply, as to
+    /// later requests.
+    pub first_request_us: Option<Micros>,
+    /// Time for a request to be complete once a part of it has come.
     pub read_us: Micros,
-    /// For an answer to be taken.
+    /// Time for an answer to be written.
     pub write_us: Micros,
-    /// A connection that has brought one request, or more, is closed when it has been idle so long.
-    pub once_idle_us: Micros,
+    /// Time that a connection may be idle after its first request.
+    pub idle_after_one_us: Micros,
+    /// Time that a connection may be idle after several requests, and before the first if `first_request_us` is None.
     pub idle_us: Micros,
 }
 
-/// What a client's connection is told.
-enum ToClient {
+/// A message to the coroutine of a client connection.
+enum ToConnection {
     Answer {
         id: u64,
         answer: Answer,
     },
-    /// Its desk has dropped the request.
-    Lost {
+    /// The handler has dropped the request without an answer.
+    Dropped {
         id: u64,
     },
-    /// The next piece of a body that is paced.
-    Piece,
-    /// Close if this is still all that it does.
-    Close(Doing),
-    /// After a break: it may read on.
-    GoOn,
+    /// Time to send the next piece of a paced body.
+    NextPiece,
+    /// Close the connection if it is still in this state.
+    Close(State),
+    /// The break is over: go on reading.
+    Resume,
 }
 
-/// What a connection is doing, as far as it matters to the others.
+/// The state of a connection, as far as its listener needs it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Doing {
+enum State {
     Idle,
-    /// The desk has its request.
+    /// A request is with the handler.
     Waiting,
-    /// A part of a request has come.
+    /// A request is partly received.
     Reading,
-    /// An answer is not yet taken.
+    /// An answer is not completely written.
     Writing,
-    /// It ends; nothing more is owed.
-    Parting,
+    /// All answers are written; the connection waits for the client to close.
+    Lingering,
 }
 
-/// A connection as the others know it.
-struct Known {
-    inbox: Arc<Mailbox<ToClient>>,
-    doing: AtomicU8,
+/// What the listener knows of a connection.
+struct Connection {
+    inbox: Arc<Mailbox<ToConnection>>,
+    state: AtomicU8,
+    /// When it entered that state, or last made progress in it.
     since: AtomicU64,
-    born: Micros,
-    /// Whole requests that it has brought.
-    asked: AtomicU32,
+    opened_at: Micros,
+    /// Complete requests received.
+    request_count: AtomicU32,
 }
 
-impl Known {
-    fn doing(&self) -> Doing {
-        let shown = self.doing.load(Ordering::Relaxed);
-        let all = [Doing::Idle, Doing::Waiting, Doing::Reading, Doing::Writing, Doing::Parting];
-        all.into_iter().find(|d| *d as u8 == shown).unwrap_or(Doing::Waiting)
+impl Connection {
+    fn state(&self) -> State {
+        let stored = self.state.load(Ordering::Relaxed);
+        let all = [State::Idle, State::Waiting, State::Reading, State::Writing, State::Lingering];
+        all.into_iter().find(|s| *s as u8 == stored).unwrap_or(State::Waiting)
     }
 
     fn since(&self) -> Micros {
         self.since.load(Ordering::Relaxed)
     }
 
-    fn asked(&self) -> u32 {
-        self.asked.load(Ordering::Relaxed)
+    fn request_count(&self) -> u32 {
+        self.request_count.load(Ordering::Relaxed)
     }
 
-    /// Its first request is still to be expected.
-    fn expected(&self, now: Micros, patience: &Patience) -> bool {
-        self.asked() == 0 && now < self.born + patience.first_us.unwrap_or(patience.idle_us)
+    /// Whether its first request may still come.
+    fn awaits_first_request(&self, now: Micros, timeouts: &ClientTimeouts) -> bool {
+        self.request_count() == 0
+            && now < self.opened_at + timeouts.first_request_us.unwrap_or(timeouts.idle_us)
     }
 
-    /// What it is to be ended for by `now`, if its descriptor is wanted or not. A client that sends nothing,
-    /// or half a request, is told so in time: it may be waiting for that. Who asked once and stays would fill
-    /// the descriptors in the course of a long day; who comes often is the last to go.
-    fn overdue(&self, now: Micros, look: &Look) -> Option<Doing> {
-        let (doing, p) = (self.doing(), &look.patience);
-        let first = |other: Micros| p.first_us.map_or((self.since(), other), |first| (self.born, first));
-        let (from, patience) = match (doing, self.asked()) {
-            (Doing::Idle, 0) if look.short => (self.born, SILENT_US),
-            (Doing::Idle, 0) => first(p.idle_us),
-            (Doing::Idle, 1) => (self.since(), p.once_idle_us),
-            (Doing::Idle, _) => (self.since(), p.idle_us),
-            (Doing::Reading, 0) => first(p.read_us),
-            (Doing::Reading, _) => (self.since(), p.read_us),
-            (Doing::Writing, _) => (self.since(), p.write_us),
-            (Doing::Waiting | Doing::Parting, _) => return None,
+    /// The state it has been in for too long by `now`, whether or not descriptors are short. A client that sends
+    /// nothing or half a request is told so in time, as it may be waiting for that. Connections that stay after a
+    /// single request would use up the descriptors in the course of a long day; those with several requests may stay
+    /// longest.
+    fn overdue(&self, now: Micros, sweep: &Sweep) -> Option<State> {
+        let (state, t) = (self.state(), &sweep.timeouts);
+        let first =
+            |other: Micros| t.first_request_us.map_or((self.since(), other), |first| (self.opened_at, first));
+        let (from, timeout) = match (state, self.request_count()) {
+            (State::Idle, 0) if sweep.descriptors_short => (self.opened_at, SHORT_FIRST_REQUEST_US),
+            (State::Idle, 0) => first(t.idle_us),
+            (State::Idle, 1) => (self.since(), t.idle_after_one_us),
+            (State::Idle, _) => (self.since(), t.idle_us),
+            (State::Reading, 0) => first(t.read_us),
+            (State::Reading, _) => (self.since(), t.read_us),
+            (State::Writing, _) => (self.since(), t.write_us),
+            (State::Waiting | State::Lingering, _) => return None,
         };
-        let parts = look.draining_since.filter(|_| doing == Doing::Idle);
-        let parts_at = parts.map_or(Micros::MAX, |at| at.max(self.since()) + DRAIN_IDLE_US);
-        (now >= from.saturating_add(patience).min(parts_at)).then_some(doing)
+        let drain = sweep.draining_since.filter(|_| state == State::Idle);
+        let drain_until = drain.map_or(Micros::MAX, |at| at.max(self.since()) + DRAIN_IDLE_US);
+        (now >= from.saturating_add(timeout).min(drain_until)).then_some(state)
     }
 
-    /// How well it can be done without, where descriptors are short: the greater, the better; None, not at
-    /// all.
-    fn spare(&self, now: Micros, silent_us: Micros, write_us: Micros) -> Option<(u8, Micros)> {
-        let (rank, patience) = match (self.doing(), self.asked()) {
-            (Doing::Idle, 0) => (4, silent_us),
-            (Doing::Idle, 1) => (3, IDLE_PATIENCE_US),
-            (Doing::Reading, _) => (2, READ_SHORT_US),
-            (Doing::Idle, _) => (1, IDLE_PATIENCE_US),
-            (Doing::Writing, _) => (0, write_us),
-            (Doing::Waiting | Doing::Parting, _) => return None,
+    /// How suitable it is to be closed when descriptors are short: the greatest is closed first. None: not to be
+    /// closed.
+    fn eviction_rank(&self, now: Micros, first_request_us: Micros, write_us: Micros) -> Option<(u8, Micros)> {
+        let (rank, timeout) = match (self.state(), self.request_count()) {
+            (State::Idle, 0) => (4, first_request_us),
+            (State::Idle, 1) => (3, SHORT_IDLE_US),
+            (State::Reading, _) => (2, SHORT_READ_US),
+            (State::Idle, _) => (1, SHORT_IDLE_US),
+            (State::Writing, _) => (0, write_us),
+            (State::Waiting | State::Lingering, _) => return None,
         };
-        let for_so_long = now.saturating_sub(self.since());
-        (for_so_long >= patience).then_some((rank, for_so_long))
+        let elapsed = now.saturating_sub(self.since());
+        (elapsed >= timeout).then_some((rank, elapsed))
     }
 
-    /// Tells it to end, if it still does what it was chosen for; it is not chosen twice.
-    fn close(&self, doing: Doing) {
-        self.doing.store(Doing::Waiting as u8, Ordering::Relaxed);
-        self.inbox.post(ToClient::Close(doing));
+    /// Tells it to close if it is still in `state`. It counts as waiting meanwhile, so that it is not chosen again.
+    fn close(&self, state: State) {
+        self.state.store(State::Waiting as u8, Ordering::Relaxed);
+        self.inbox.post(ToConnection::Close(state));
     }
 }
 
-/// What a look at all connections goes by.
-struct Look {
-    patience: Patience,
-    short: bool,
+/// The conditions of one sweep over all connections.
+struct Sweep {
+    timeouts: ClientTimeouts,
+    descriptors_short: bool,
     draining_since: Option<Micros>,
 }
 
-/// A listener and all open connections that came by it.
-pub struct Door<D: Desk> {
-    room: Arc<Resources>,
-    desk: Arc<D>,
+/// A listener and the open connections that it has accepted.
+pub struct Listener<H: Handler> {
+    resources: Arc<Resources>,
+    handler: Arc<H>,
     addr: SocketAddr,
-    open: Mutex<HashMap<u64, Arc<Known>>>,
-    bell: Waker,
+    open: Mutex<HashMap<u64, Arc<Connection>>>,
+    waker: Waker,
     paused: AtomicBool,
-    shut: AtomicBool,
-    /// Idle connections that have asked once: as counted last, and those that have had their answer since.
-    sitting: AtomicUsize,
-    /// When one that comes often was last made to give way.
-    parted_at: AtomicU64,
+    stopped: AtomicBool,
+    /// Idle connections with a single request: the count of the last sweep, and those answered since.
+    idle_after_one: AtomicUsize,
+    /// When a connection with several requests was last closed to free its descriptor.
+    evicted_at: AtomicU64,
 }
 
-/// Where descriptors are short: after so long one that has brought nothing (its first request comes right
-/// behind it, if at all), one that is idle between requests (by the protocol no sooner), one with half a
-/// request.
-const SILENT_US: Micros = 100_000;
-const SILENT_SHORT_US: Micros = 20_000;
-const IDLE_PATIENCE_US: Micros = 2_000_000;
-const READ_SHORT_US: Micros = 1_000_000;
-/// While the desk drains: connections that are used until then end with an answer; those idle all the while
-/// are closed.
+/// When descriptors are short, a connection without a request may be closed after this time: a first request comes
+/// right after the connection, if at all.
+const SHORT_FIRST_REQUEST_US: Micros = 100_000;
+/// The same when a complete request needs the descriptor.
+const URGENT_FIRST_REQUEST_US: Micros = 20_000;
+/// When descriptors are short, a connection that is idle between requests may be closed after this time; the protocol
+/// allows it no sooner.
+const SHORT_IDLE_US: Micros = 2_000_000;
+/// When descriptors are short, a connection with half a request may be closed after this time.
+const SHORT_READ_US: Micros = 1_000_000;
+/// While the handler drains, connections that are idle for this time are closed. The others are closed with an answer.
 const DRAIN_IDLE_US: Micros = 500_000;
-/// How often all connections are looked at.
-const LOOK_EVERY_US: Micros = 100_000;
-/// Connections that may wait to be taken.
+/// Interval of the sweeps over all connections.
+const SWEEP_INTERVAL_US: Micros = 100_000;
+/// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// How long the listener waits when no descriptor is to be had.
-const PAUSE_US: Micros = 50_000;
-
-impl<D: Desk> Door<D> {
-    /// Listens from the call on.
-    pub fn start(listen: SocketAddr, room: Arc<Resources>, desk: Arc<D>) -> io::Result<Arc<Door<D>>> {
+/// How long accepting pauses when no descriptor is available.
+const ACCEPT_PAUSE_US: Micros = 50_000;
+
+impl<H: Handler> Listener<H> {
+    /// Binds the address and starts to accept connections.
+    pub fn start(
+        listen: SocketAddr,
+        resources: Arc<Resources>,
+        handler: Arc<H>,
+    ) -> io::Result<Arc<Listener<H>>> {
         let socket = socket2::Socket::new(Domain::for_address(listen), Type::STREAM, None)?;
-        socket.set_reuse_address(true)?; // connections of an earlier life may still be closing
+        socket.set_reuse_address(true)?; // connections of an earlier process may still be closing
         socket.bind(&listen.into())?;
         socket.listen(BACKLOG)?;
-        let listener = TcpListener::from(socket);
-        let addr = listener.local_addr()?;
-        let listener = Watched::new(listener)?;
-        let mut alarm = Alarm::new(room.clock)?;
-        let door = Arc::new(Door {
-            room,
-            desk,
+        let socket = TcpListener::from(socket);
+        let addr = socket.local_addr()?;
+        let socket = Watched::new(socket)?;
+        let mut alarm = Alarm::new(resources.clock)?;
+        let listener = Arc::new(Listener {
+            resources,
+            handler,
             addr,
             open: Mutex::default(),
-            bell: listener.waker(),
+            waker: socket.waker(),
             paused: AtomicBool::new(false),
-            shut: AtomicBool::new(false),
-            sitting: AtomicUsize::new(0),
-            parted_at: AtomicU64::new(0),
+            stopped: AtomicBool::new(false),
+            idle_after_one: AtomicUsize::new(0),
+            evicted_at: AtomicU64::new(0),
         });
-        let all = door.clone();
+        let accepting = listener.clone();
         may::go!(move || {
             loop {
-                all.accept(&listener);
-                if all.shut.load(Ordering::Relaxed) {
-                    return; // ends the listener, with all taken that had come
+                accepting.accept(&socket);
+                if accepting.stopped.load(Ordering::Relaxed) {
+                    return; // closes the listening socket, with all accepted that had come before
                 }
-                listener.wait();
+                socket.wait();
             }
         });
-        let all = door.clone();
+        let sweeping = listener.clone();
         may::go!(move || {
             let mut draining_since = None;
             loop {
-                alarm.sleep(LOOK_EVERY_US);
-                all.close_overdue(&mut draining_since);
+                alarm.sleep(SWEEP_INTERVAL_US);
+                sweeping.close_overdue(&mut draining_since);
             }
         });
-        Ok(door)
+        Ok(listener)
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
     fn close_overdue(&self, draining_since: &mut Option<Micros>) {
-        let now = self.room.clock.now();
-        if self.desk.draining() {
+        let now = self.resources.clock.now();
+        if self.handler.draining() {
             draining_since.get_or_insert(now);
         }
-        let (patience, short) = (self.desk.patience(), self.room.fds.short());
-        let look = Look { patience, short, draining_since: *draining_since };
+        let (timeouts, descriptors_short) = (self.handler.timeouts(), self.resources.fds.short());
+        let sweep = Sweep { timeouts, descriptors_short, draining_since: *draining_since };
         let open = self.open();
-        let sitting = open.values().filter(|k| k.asked() == 1 && k.doing() == Doing::Idle).count();
-        self.sitting.store(sitting, Ordering::Relaxed);
-        for known in open.values() {
-            if let Some(doing) = known.overdue(now, &look) {
-                known.close(doing);
+        let idle_after_one =
+            open.values().filter(|c| c.request_count() == 1 && c.state() == State::Idle).count();
+        self.idle_after_one.store(idle_after_one, Ordering::Relaxed);
+        for connection in open.values() {
+            if let Some(state) = connection.overdue(now, &sweep) {
+                connection.close(state);
             }
         }
     }
 
-    fn open(&self) -> MutexGuard<'_, HashMap<u64, Arc<Known>>> {
+    fn open(&self) -> MutexGuard<'_, HashMap<u64, Arc<Connection>>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes all connections that wait, as long as there are descriptors for them. Once the door is shut, no more
-    /// than may have come before: clients that connect without a pause would hold it open.
-    fn accept(self: &Arc<Self>, listener: &Watched<TcpListener>) {
+    /// Accepts all waiting connections, as long as there are descriptors for them. Once the listener is stopped, it
+    /// accepts no more than can have waited at that time: clients that keep connecting would otherwise keep it open.
+    fn accept(self: &Arc<Self>, socket: &Watched<TcpListener>) {
         let mut left = BACKLOG + 1;
         while left > 0 {
-            left -= i32::from(self.shut.load(Ordering::Relaxed));
-            let Some(fd) = self.room.fds.take(ConnectionKind::Client) else {
-                self.make_room(false);
-                self.desk.crowded(); // idle connections to servers give way too
+            left -= i32::from(self.stopped.load(Ordering::Relaxed));
+            let Some(fd) = self.resources.fds.take(ConnectionKind::Client) else {
+                self.evict_one(false);
+                self.handler.descriptors_exhausted(); // for it to close idle connections to servers
                 return self.pause();
             };
-            match listener.inner().accept() {
+            match socket.inner().accept() {
                 Ok((stream, _)) => {
-                    if self.room.fds.short() {
-                        self.make_room(false);
+                    if self.resources.fds.short() {
+                        self.evict_one(false);
                     }
                     if let Err(e) = self.serve(stream, fd) {
-                        (self.room.warn)(format_args!("cannot serve a connection: {e}"));
+                        (self.resources.warn)(format_args!("cannot serve a connection: {e}"));
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // A connection that was gone before it was taken.
+                // The connection was gone before it was accepted.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => {
-                    // No descriptor or no memory, or something unforeseen that would come again at once.
-                    self.make_room(false);
-                    (self.room.warn)(format_args!("cannot take a connection, pausing: {e}"));
+                    // No descriptor or no memory, or an unexpected error that would recur at once.
+                    self.evict_one(false);
+                    (self.resources.warn)(format_args!("cannot accept a connection, pausing: {e}"));
                     return self.pause();
                 }
             }
         }
     }
 
-    /// Stops taking connections until one ends, or for a short while. It must not spin: the event that says
-    /// that connections wait would be there each time.
+    /// Stops accepting until a connection ends, or for a short while. Without the pause it would spin, as the waiting
+    /// connections are reported each time.
     fn pause(self: &Arc<Self>) {
         if !self.paused.swap(true, Ordering::Relaxed) {
-            let all = self.clone();
-            self.room.alarms.after(PAUSE_US, move || all.resume());
+            let listener = self.clone();
+            self.resources.alarms.after(ACCEPT_PAUSE_US, move || listener.resume());
         }
     }
 
     fn resume(&self) {
         if self.paused.swap(false, Ordering::Relaxed) {
-            self.bell.wake();
+            self.waker.wake();
         }
     }
 
-    /// Near the limit the connection that can best be done without makes room, if there is one. For a request
-    /// that is there, one that has said nothing yet gives way sooner than for a connection that may say
-    /// nothing either.
-    fn make_room(&self, asked: bool) -> bool {
-        let silent_us = if asked { SILENT_SHORT_US } else { SILENT_US };
-        let (open, now, write_us) = (self.open(), self.room.clock.now(), self.desk.patience().write_us);
-        let spare = open.values().filter_map(|k| k.spare(now, silent_us, write_us).map(|rank| (rank, k)));
-        let found = spare.max_by_key(|(rank, _)| *rank);
-        if let Some((_, known)) = found {
-            known.close(known.doing());
+    /// Closes the open connection that is most suitable, if there is one, to free its descriptor. A connection without
+    /// a request is closed sooner for a complete request (`for_request`) than for a new connection, which may never
+    /// bring a request either.
+    fn evict_one(&self, for_request: bool) -> bool {
+        let first_request_us = if for_request { URGENT_FIRST_REQUEST_US } else { SHORT_FIRST_REQUEST_US };
+        let (open, now) = (self.open(), self.resources.clock.now());
+        let write_us = self.handler.timeouts().write_us;
+        let ranked = open
+            .values()
+            .filter_map(|c| c.eviction_rank(now, first_request_us, write_us).map(|rank| (rank, c)));
+        let found = ranked.max_by_key(|(rank, _)| *rank);
+        if let Some((_, connection)) = found {
+            connection.close(connection.state());
         }
         found.is_some()
     }
 
-    /// Whether a connection may stay after its first answer. Some clients never ask again on one, yet keep
-    /// it, and may hold only so many themselves: left open, these would keep them from asking at all.
-    fn may_sit(&self) -> bool {
-        self.sitting.fetch_add(1, Ordering::Relaxed) < self.room.fds.max_idle_after_one_request()
+    /// Whether a connection may stay open after its first answer. Some clients never use a connection again, yet keep
+    /// it open and may hold only so many: the kept ones would then stop them from sending requests at all.
+    fn may_stay_after_one(&self) -> bool {
+        self.idle_after_one.fetch_add(1, Ordering::Relaxed) < self.resources.fds.max_idle_after_one_request()
     }
 
-    /// Whether a connection that comes often may be ended by its answer to let others in.
-    fn may_part(&self) -> bool {
-        let now = self.room.clock.now();
-        let due = now >= self.parted_at.load(Ordering::Relaxed) + LOOK_EVERY_US;
+    /// Whether a connection with several requests may be closed by its answer to free its descriptor: one in each
+    /// sweep interval.
+    fn may_evict_active(&self) -> bool {
+        let now = self.resources.clock.now();
+        let due = now >= self.evicted_at.load(Ordering::Relaxed) + SWEEP_INTERVAL_US;
         if due {
-            self.parted_at.store(now, Ordering::Relaxed);
+            self.evicted_at.store(now, Ordering::Relaxed);
         }
         due
     }
 
-    /// Takes no more connections; those that are open go on.
-    pub fn shut(&self) {
-        self.shut.store(true, Ordering::Relaxed);
-        self.bell.wake();
+    /// Stops accepting connections; open ones go on.
+    pub fn stop_accepting(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
+        self.waker.wake();
     }
 
-    /// Connections that are open, whatever they do.
+    /// The number of open connections, in whatever state.
     pub fn count(&self) -> usize {
         self.open().len()
     }
 
-    /// Connections with a request, or a part of one, or an answer that is not yet taken.
+    /// The number of connections with a request, a part of one, or an answer that is not completely written.
     pub fn busy(&self) -> usize {
-        let (now, patience) = (self.room.clock.now(), self.desk.patience());
-        let busy = |k: &&Arc<Known>| match k.doing() {
-            Doing::Waiting => true,
-            Doing::Reading => now < k.since() + patience.read_us,
-            Doing::Writing => now < k.since() + patience.write_us,
-            Doing::Idle | Doing::Parting => false,
+        let (now, timeouts) = (self.resources.clock.now(), self.handler.timeouts());
+        let busy = |c: &&Arc<Connection>| match c.state() {
+            State::Waiting => true,
+            State::Reading => now < c.since() + timeouts.read_us,
+            State::Writing => now < c.since() + timeouts.write_us,
+            State::Idle | State::Lingering => false,
         };
         self.open().values().filter(busy).count()
     }
@@ -469,12 +490,13 @@
         stream.set_nodelay(true)?;
         let io = Watched::new(stream)?;
         let inbox = Arc::new(Mailbox::new(io.waker()));
-        let number = self.room.ids.fetch_add(1, Ordering::Relaxed);
-        let born = self.room.clock.now();
-        let (doing, since) = (AtomicU8::new(Doing::Idle as u8), AtomicU64::new(born));
-        let known = Arc::new(Known { inbox, doing, since, born, asked: AtomicU32::new(0) });
-        self.open().insert(number, known.clone());
-        connection::start(self.clone(), known, number, io, fd);
+        let id = self.resources.ids.fetch_add(1, Ordering::Relaxed);
+        let opened_at = self.resources.clock.now();
+        let (state, since) = (AtomicU8::new(State::Idle as u8), AtomicU64::new(opened_at));
+        let connection =
+            Arc::new(Connection { inbox, state, since, opened_at, request_count: AtomicU32::new(0) });
+        self.open().insert(id, connection.clone());
+        connection::start(self.clone(), connection, id, io, fd);
         Ok(())
     }
 }
--- a/crates/net/src/listener/connection.rs
+++ b/crates/net/src/listener/connection.rs
@@ -1,6 +1,6 @@
-//! One client's connection: reads requests, hands them to the desk, writes the answers.
+//! A client connection: reads requests, passes them to the handler, writes the answers.
 
-use super::{Answer, Desk, Doing, Door, Heard, Known, Reply, To, ToClient};
+use super::{Answer, Connection, Handler, HeadAction, Listener, Reply, ReplyTarget, State, ToConnection};
 use crate::Micros;
 use crate::http::{self, Bad, Body, Framing};
 use crate::limits::{BufferedBody, Fd, Lease};
@@ -13,158 +13,164 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Starts the actor of a connection that was just taken.
-pub(super) fn start<D: Desk>(
-    all: Arc<Door<D>>,
-    known: Arc<Known>,
-    number: u64,
+/// Starts the coroutine of a connection that was just accepted.
+pub(super) fn start<H: Handler>(
+    listener: Arc<Listener<H>>,
+    connection: Arc<Connection>,
+    id: u64,
     io: Watched<TcpStream>,
     fd: Fd,
 ) {
-    let mut client = Client::new(io, all, known, fd);
+    let mut client = Client::new(io, listener, connection, fd);
     may::go!(move || {
-        // A panic ends this connection alone; the request it held is answered and given up.
+        // A panic ends only this connection; its pending request is answered and reported as gone.
         if catch_unwind(AssertUnwindSafe(|| client.run())).is_err() {
-            let _ = catch_unwind(AssertUnwindSafe(|| client.fall()));
+            let _ = catch_unwind(AssertUnwindSafe(|| client.answer_after_panic()));
         }
-        client.leave();
-        let all = client.all.clone();
-        all.open().remove(&number);
+        client.report_unanswered();
+        let listener = client.listener.clone();
+        listener.open().remove(&id);
         drop(client);
-        all.resume();
+        listener.resume();
     });
 }
 
-/// A request of which the head is read and the body is on its way.
-struct Part<Ask> {
-    due: Due,
-    heard: Heard<Ask>,
+/// A request whose head is parsed and whose body is being received.
+struct PartialRequest<Request> {
+    pending: PendingAnswer,
+    action: HeadAction<Request>,
     body: Body,
     lease: Option<Lease>,
 }
 
-/// A request that is owed an answer. Answers go out in the order of the requests.
+/// A request without a sent answer. Answers are sent in the order of the requests.
 #[derive(Default)]
-struct Due {
-    /// Its number, where the desk has it.
+struct PendingAnswer {
+    /// The id of the request, if the handler has it.
     id: u64,
     answer: Option<Answer>,
-    /// To HEAD only the head of the answer goes out.
+    /// Only the head of the answer is sent, as the request is a HEAD.
     head_only: bool,
-    /// The last one on this connection.
+    /// The last request on this connection.
     last: bool,
-    /// It changes nothing and brings nothing, so others of its kind may be under way beside it.
-    light: bool,
+    /// GET or HEAD without a body: may be under way together with others of this kind.
+    pipelinable: bool,
 }
 
-struct Paced {
+/// A body that is sent in pieces over time.
+struct PacedBody {
     body: Bytes,
-    gone: usize,
-    piece: usize,
-    every_us: Micros,
+    sent: usize,
+    piece_bytes: usize,
+    interval_us: Micros,
 }
 
-/// Pieces of a paced body.
-const PIECES: usize = 8;
+/// The number of pieces in which a paced body is sent.
+const PACED_PIECES: usize = 8;
 
-pub(super) struct Client<D: Desk, S = Watched<TcpStream>> {
+/// The connection's side of the protocol, over a socket or a simulated stream.
+pub(super) struct Client<H: Handler, S = Watched<TcpStream>> {
     io: S,
-    all: Arc<Door<D>>,
-    known: Arc<Known>,
+    listener: Arc<Listener<H>>,
+    connection: Arc<Connection>,
     incoming: Ring,
     outgoing: Outgoing,
-    part: Option<Part<D::Ask>>,
-    /// The requests that are owed an answer, in their order.
-    line: VecDeque<Due>,
-    /// The rest of a body that goes out in pieces; nothing else is said meanwhile.
-    paced: Option<Paced>,
-    /// No further request is read; the connection ends with the last answer that is owed.
-    deaf: bool,
-    /// Bytes read of a body or written of an answer since the connection last showed what it does.
-    moved: usize,
-    /// There may be bytes to read that no event will tell of again.
-    more: bool,
-    /// What has come waits for answers to be taken.
-    held: bool,
-    /// Requests answered one after the other without a word from the event loop.
+    partial: Option<PartialRequest<H::Request>>,
+    /// The requests without a sent answer, in their order.
+    pending: VecDeque<PendingAnswer>,
+    /// The rest of a body that is sent in pieces; nothing else is sent meanwhile.
+    paced: Option<PacedBody>,
+    /// No further request is read; the connection ends with the last pending answer.
+    no_more_requests: bool,
+    /// Bytes read or written since the last block of progress was recorded.
+    progress_bytes: usize,
+    /// There may be bytes to read that no further event will announce.
+    may_have_input: bool,
+    /// Received requests wait until more of the answers is written.
+    write_blocked: bool,
+    /// Requests answered in a row without an event from the event loop.
     streak: u32,
-    /// So much was read in one turn that the others have theirs first.
-    paused: bool,
-    /// Nothing is read any more; the connection ends once all is written.
+    /// Reading takes a break for other connections, after many reads in a row.
+    reading_paused: bool,
+    /// Nothing is read any more; the connection ends once everything is written.
     closing: bool,
-    /// The client has closed its side; read up to there, it has ended. No event tells of it twice, and a
-    /// break may come in between.
-    hung: bool,
+    /// The client has closed its side. No event announces this twice, and a break may come before the end is read.
+    client_closed: bool,
+    /// The end of the stream, or an error, was read.
     ended: bool,
     _fd: Fd,
 }
 
-/// After so many requests in a row a connection takes a break. The event loop is asked only when no coroutine
-/// is ready: one client that sends without end would otherwise be all that the program sees.
-const MOST_STREAK: u32 = 32;
+/// After so many requests in a row a connection takes a break. The event loop is polled only when no coroutine is
+/// ready: a client that sends without end would otherwise keep the program from serving any other.
+const MAX_STREAK: u32 = 32;
+/// Length of the break.
 const BREAK_US: Micros = 1_000;
-/// So many reads in a row, and a connection takes a break for the same reason.
-const MOST_READS: usize = 16;
-/// How long the client's end is awaited after the last answer; and how long at the most while bytes keep
-/// coming: cut short while it still sends, it could lose the answer that tells it why.
+/// After so many reads in a row a connection takes a break, for the same reason.
+const MAX_READS: usize = 16;
+/// How long the connection waits for the client to close after the last answer, from the last bytes it sent.
 const LINGER_US: Micros = 500_000;
-const MOST_LINGER_US: Micros = 5_000_000;
-const SCRAP: usize = 16 * 1024;
-/// Read ahead of a request under way.
-const AHEAD: usize = 4096;
-
-/// Answers that are not taken hold up the next from here on: their sum must not grow.
-const MOST_OUT: usize = 64 * 1024;
-/// A body that nobody wants is read and dropped up to this.
-const MOST_DROPPED: usize = 64 * 1024;
-
-const NO_ROOM: Bad = Bad { status: 503, what: "no room" };
-const LOST: Bad = Bad { status: 502, what: "" };
-
-/// What a connection does next.
+/// The longest wait while bytes keep coming. A client that is cut off while it still sends could lose the answer that
+/// tells it why.
+const MAX_LINGER_US: Micros = 5_000_000;
+/// Size of the buffer for bytes that are read and dropped meanwhile.
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
+/// The most bytes that are read ahead while a request is under way.
+const MAX_READ_AHEAD_BYTES: usize = 4096;
+
+/// Backpressure: with so many bytes of answers unwritten, no further request is processed.
+const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
+/// The largest unwanted body that is read and dropped to keep the connection open.
+const MAX_DROPPED_BODY_BYTES: usize = 64 * 1024;
+
+const OVER_LIMIT: Bad = Bad { status: 503, what: "no room" };
+const DROPPED: Bad = Bad { status: 502, what: "" };
+
+/// What a connection does next, after a step.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Turn {
-    /// Until something happens.
+pub(super) enum Next {
+    /// Waits for an event or a message.
     Wait,
-    /// It goes on at once.
+    /// Takes another step at once.
     Again,
-    /// All is said: it ends, and the client's end is awaited.
-    Part,
-    /// The client has gone, or is cut off; what waits is withdrawn.
-    Over,
+    /// All answers are written: shuts down its side and waits for the client to close.
+    Linger,
+    /// Ends at once, as the client has gone or is cut off; the handler is told of pending requests.
+    Close,
 }
 
-impl<D: Desk> Client<D> {
+impl<H: Handler> Client<H> {
     fn run(&mut self) {
-        let mut seen = events::READABLE;
+        let mut events = events::READABLE;
         loop {
-            match self.turn(seen) {
-                Turn::Wait => seen = self.io.wait(),
-                Turn::Again => seen = 0,
-                Turn::Part => return self.part_with(),
-                Turn::Over => return,
+            match self.step(events) {
+                Next::Wait => events = self.io.wait(),
+                Next::Again => events = 0,
+                Next::Linger => return self.linger(),
+                Next::Close => return,
             }
         }
     }
 
-    /// The last answer must reach the client: closing with bytes unread would reset the connection and could
-    /// take the answer along. So this side ends first, and the client's end is awaited for a short while;
-    /// longer while it still sends, in turns with the others, as some send at full speed and without end.
-    fn part_with(&mut self) {
+    /// Closes the connection so that the last answer reaches the client: closing with unread bytes would reset the
+    /// connection, and the answer could be lost. So this side is shut down first, and then the client's end is awaited
+    /// for a short while; for longer while it still sends. As some clients send at full speed and without end, reading
+    /// takes breaks for the other connections.
+    fn linger(&mut self) {
         if self.io.inner().shutdown(Shutdown::Write).is_err() {
             return;
         }
-        self.known.doing.store(Doing::Parting as u8, Ordering::Relaxed);
+        self.connection.state.store(State::Lingering as u8, Ordering::Relaxed);
         self.incoming = Ring::default();
-        let from = self.all.room.clock.now();
-        let (mut heard, mut woken, mut scrap) = (from, 0, vec![0; SCRAP]);
+        let from = self.listener.resources.clock.now();
+        let (mut last_read, mut wake_set_at, mut discarded) = (from, 0, vec![0; DISCARD_BUFFER_BYTES]);
         loop {
             let mut socket = self.io.inner();
             let mut all_read = false;
-            for _ in 0..MOST_READS {
-                match socket.read(&mut scrap) {
+            for _ in 0..MAX_READS {
+                match socket.read(&mut discarded) {
                     Ok(0) => return,
-                    Ok(_) => heard = self.all.room.clock.now(),
+                    Ok(_) => last_read = self.listener.resources.clock.now(),
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {
                         all_read = true;
@@ -173,157 +179,156 @@
                     Err(_) => return,
                 }
             }
-            let now = self.all.room.clock.now();
-            let until = (heard + LINGER_US).min(from + MOST_LINGER_US);
-            // With all read that came, nothing is lost if the client heeds the end it was told of.
-            if now >= until || (all_read && self.all.room.fds.short()) {
+            let now = self.listener.resources.clock.now();
+            let until = (last_read + LINGER_US).min(from + MAX_LINGER_US);
+            // All received bytes are read, so closing does not reset the connection unless the client sends more.
+            if now >= until || (all_read && self.listener.resources.fds.short()) {
                 return;
             }
             let wake_at = if all_read { until } else { now + BREAK_US };
-            if woken <= now || wake_at < woken {
-                woken = wake_at;
-                let known = self.known.clone();
-                self.all.room.alarms.after(wake_at - now, move || known.inbox.wake());
+            if wake_set_at <= now || wake_at < wake_set_at {
+                wake_set_at = wake_at;
+                let connection = self.connection.clone();
+                self.listener.resources.alarms.after(wake_at - now, move || connection.inbox.wake());
             }
             self.io.wait();
         }
     }
 }
 
-impl<D: Desk, S: Stream> Client<D, S> {
-    pub(super) fn new(io: S, all: Arc<Door<D>>, known: Arc<Known>, fd: Fd) -> Self {
+impl<H: Handler, S: Stream> Client<H, S> {
+    pub(super) fn new(io: S, listener: Arc<Listener<H>>, connection: Arc<Connection>, fd: Fd) -> Self {
         Client {
             io,
-            all,
-            known,
+            listener,
+            connection,
             incoming: Ring::default(),
             outgoing: Outgoing::default(),
-            part: None,
-            line: VecDeque::new(),
+            partial: None,
+            pending: VecDeque::new(),
             paced: None,
-            deaf: false,
-            moved: 0,
-            more: false,
-            held: false,
+            no_more_requests: false,
+            progress_bytes: 0,
+            may_have_input: false,
+            write_blocked: false,
             streak: 0,
-            paused: false,
+            reading_paused: false,
             closing: false,
-            hung: false,
+            client_closed: false,
             ended: false,
             _fd: fd,
         }
     }
 
-    /// What is still owed when it ends is not wanted any more.
-    pub(super) fn leave(&mut self) {
-        for due in self.line.drain(..).filter(|d| d.answer.is_none()) {
-            self.all.desk.withdrawn(due.id);
+    /// Tells the handler that the requests still without an answer have lost their client.
+    pub(super) fn report_unanswered(&mut self) {
+        for pending in self.pending.drain(..).filter(|p| p.answer.is_none()) {
+            self.listener.handler.client_gone(pending.id);
         }
     }
 
-    /// What the mailbox and the events `seen` call for.
-    pub(super) fn turn(&mut self, seen: usize) -> Turn {
-        while let Some(told) = self.known.inbox.pop() {
-            match told {
-                ToClient::Answer { id, answer } => self.answer(id, answer),
-                ToClient::Lost { id } => self.answer(id, self.all.desk.refusal(&LOST)),
-                ToClient::GoOn => (self.streak, self.paused) = (0, false),
-                ToClient::Piece => self.piece(),
-                ToClient::Close(chosen_for) => {
-                    // Nothing is owed to one that is idle between requests: a request that crosses the
-                    // close is sent again by its client. But one that has come by now, or an answer to
-                    // it, is owed.
-                    self.more = true;
+    /// Handles the messages in the mailbox and the given events.
+    pub(super) fn step(&mut self, events: usize) -> Next {
+        while let Some(message) = self.connection.inbox.pop() {
+            match message {
+                ToConnection::Answer { id, answer } => self.set_answer(id, answer),
+                ToConnection::Dropped { id } => self.set_answer(id, self.listener.handler.refusal(&DROPPED)),
+                ToConnection::Resume => (self.streak, self.reading_paused) = (0, false),
+                ToConnection::NextPiece => self.send_piece(),
+                ToConnection::Close(expected_state) => {
+                    // An idle connection may be closed between requests: a client whose request crosses the
+                    // close sends it again. But a request that has already come must be answered.
+                    self.may_have_input = true;
                     self.read();
-                    if self.doing() != chosen_for {
+                    if self.state() != expected_state {
                         continue;
                     }
-                    match chosen_for {
-                        Doing::Reading => {
+                    match expected_state {
+                        State::Reading => {
                             self.refuse(&Bad { status: 408, what: "request not whole in time" })
                         }
-                        _ => match self.unheard(chosen_for) {
+                        _ => match self.error_on_close(expected_state) {
                             Some(bad) => self.refuse(&bad),
                             None => {
-                                // At once: what comes between this look and the end is lost to its client.
+                                // At once, as a request that comes between the read above and the close is lost.
                                 let _ = self.io.shutdown(Shutdown::Both);
-                                return Turn::Over;
+                                return Next::Close;
                             }
                         },
                     }
                 }
             }
         }
-        if seen & (events::READABLE | events::ENDED) != 0 {
-            self.more = true;
-            self.streak = if self.streak > MOST_STREAK { self.streak } else { 0 };
+        if events & (events::READABLE | events::ENDED) != 0 {
+            self.may_have_input = true;
+            self.streak = if self.streak > MAX_STREAK { self.streak } else { 0 };
         }
-        self.hung |= seen & events::ENDED != 0;
-        self.digest();
+        self.client_closed |= events & events::ENDED != 0;
+        self.process_input();
         self.read();
         if self.write().is_err() || self.ended {
-            return Turn::Over;
+            return Next::Close;
         }
-        if self.held && self.outgoing.len() < MOST_OUT {
-            self.held = false;
-            return Turn::Again;
+        if self.write_blocked && self.outgoing.len() < MAX_UNWRITTEN_BYTES {
+            self.write_blocked = false;
+            return Next::Again;
         }
         if self.closing && self.outgoing.is_empty() && self.paced.is_none() {
-            return Turn::Part;
+            return Next::Linger;
         }
-        self.show();
-        Turn::Wait
+        self.publish_state();
+        Next::Wait
     }
 
-    /// What it is told if it ends now. Its first request may be on its way, and a client whose new connection
-    /// ends in silence cannot tell whether it was heard: told first, it reads that as the answer to what
-    /// crosses. Could harm a client that takes bytes it never asked for as an error.
-    fn unheard(&self, doing: Doing) -> Option<Bad> {
-        let (now, patience) = (self.all.room.clock.now(), self.all.desk.patience());
-        let expected = doing == Doing::Idle && self.known.expected(now, &patience);
-        self.all.desk.unheard().filter(|_| expected)
+    /// The error to send if the connection is closed now, before its first request. That request may be on its way, and
+    /// without an answer its client could not tell whether it was received; it takes this error as the answer. This
+    /// could harm clients that treat bytes they did not ask for as an error.
+    fn error_on_close(&self, state: State) -> Option<Bad> {
+        let (now, timeouts) = (self.listener.resources.clock.now(), self.listener.handler.timeouts());
+        let expected = state == State::Idle && self.connection.awaits_first_request(now, &timeouts);
+        self.listener.handler.close_before_request().filter(|_| expected)
     }
 
-    fn doing(&self) -> Doing {
-        let nothing = self.part.is_none() && self.incoming.is_empty();
-        match nothing {
-            _ if !self.line.is_empty() => Doing::Waiting,
-            _ if !self.outgoing.is_empty() || self.paced.is_some() => Doing::Writing,
-            true => Doing::Idle,
-            false => Doing::Reading,
+    fn state(&self) -> State {
+        let no_input = self.partial.is_none() && self.incoming.is_empty();
+        match no_input {
+            _ if !self.pending.is_empty() => State::Waiting,
+            _ if !self.outgoing.is_empty() || self.paced.is_some() => State::Writing,
+            true => State::Idle,
+            false => State::Reading,
         }
     }
 
-    /// Shows the others what this connection is doing, and since when.
-    fn show(&mut self) {
-        let doing = self.doing();
-        let more = self.moved >= http::BLOCK_BYTES;
-        self.moved %= http::BLOCK_BYTES;
-        if self.known.doing.swap(doing as u8, Ordering::Relaxed) != doing as u8 || more {
-            // One reading of the clock for each request, where it ends.
-            let since = if doing == Doing::Waiting { 0 } else { self.all.room.clock.now() };
-            self.known.since.store(since, Ordering::Relaxed);
+    /// Publishes the state of this connection for its listener, and since when it lasts.
+    fn publish_state(&mut self) {
+        let state = self.state();
+        let more = self.progress_bytes >= http::BLOCK_BYTES;
+        self.progress_bytes %= http::BLOCK_BYTES;
+        if self.connection.state.swap(state as u8, Ordering::Relaxed) != state as u8 || more {
+            // The clock is read only once for each request, at its end.
+            let since = if state == State::Waiting { 0 } else { self.listener.resources.clock.now() };
+            self.connection.since.store(since, Ordering::Relaxed);
         }
     }
 
-    /// Ends the connection by an answer that says why: where the next request would begin is not known.
+    /// Answers with an error and ends the connection, as it is not known where the next request would begin.
     fn refuse(&mut self, bad: &Bad) {
-        self.part = None;
-        let answer = Some(self.all.desk.refusal(bad));
-        self.line.push_back(Due { answer, last: true, ..Due::default() });
-        self.deaf = true;
-        self.respond();
+        self.partial = None;
+        let answer = Some(self.listener.handler.refusal(bad));
+        self.pending.push_back(PendingAnswer { answer, last: true, ..PendingAnswer::default() });
+        self.no_more_requests = true;
+        self.send_available_answers();
     }
 
-    /// After a panic: what waits gets an answer all the same, if none has begun.
-    fn fall(&mut self) {
+    /// After a panic: answers the pending request with an error, if no answer has begun.
+    fn answer_after_panic(&mut self) {
         if self.outgoing.is_empty() {
             let bad = Bad { status: 500, what: "" };
-            match self.line.front_mut() {
-                Some(due) if due.answer.is_none() => {
-                    self.all.desk.withdrawn(due.id);
-                    (due.answer, due.last) = (Some(self.all.desk.refusal(&bad)), true);
-                    self.respond();
+            match self.pending.front_mut() {
+                Some(pending) if pending.answer.is_none() => {
+                    self.listener.handler.client_gone(pending.id);
+                    (pending.answer, pending.last) = (Some(self.listener.handler.refusal(&bad)), true);
+                    self.send_available_answers();
                 }
                 _ => self.refuse(&bad),
             }
@@ -331,69 +336,82 @@
         }
     }
 
-    /// Reads and digests what is there. While a request is under way little of the next ones is read.
+    /// Reads and processes what has come. While a request is under way, little of the next ones is read.
     fn read(&mut self) {
-        for _ in 0..MOST_READS {
-            if !self.more || self.ended || self.closing || self.deaf || self.paused {
+        for _ in 0..MAX_READS {
+            if !self.may_have_input
+                || self.ended
+                || self.closing
+                || self.no_more_requests
+                || self.reading_paused
+            {
                 return;
             }
-            let most = if !self.line.is_empty() { AHEAD } else { self.all.desk.bounds().buffer_bytes() };
-            match self.fill(most) {
+            let max_bytes = if !self.pending.is_empty() {
+                MAX_READ_AHEAD_BYTES
+            } else {
+                self.listener.handler.bounds().buffer_bytes()
+            };
+            match self.fill(max_bytes) {
                 Ok(None) => {
-                    self.ended |= self.hung && !self.line.is_empty(); // its end stands behind more than we hold
+                    // The end comes after more bytes than the buffer may hold.
+                    self.ended |= self.client_closed && !self.pending.is_empty();
                     return;
                 }
                 Ok(Some(filled)) => {
-                    self.moved += filled.bytes;
+                    self.progress_bytes += filled.bytes;
                     self.ended = filled.bytes == 0;
-                    self.more = filled.full || self.hung;
-                    self.digest();
+                    self.may_have_input = filled.full || self.client_closed;
+                    self.process_input();
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.more = false,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.may_have_input = false,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => self.ended = true,
             }
         }
-        self.paused = true; // to be gone on with after the others' turn
-        self.rest();
+        self.reading_paused = true; // resumed after a break for the other connections
+        self.take_break();
     }
 
-    /// One read: into a body of which much is still to come, or into the ring.
-    fn fill(&mut self, most: usize) -> io::Result<Option<Filled>> {
+    /// Reads once: directly into a body of which much is still to come, or into the buffer.
+    fn fill(&mut self, max_bytes: usize) -> io::Result<Option<Filled>> {
         let mut socket = self.io.socket();
         if self.incoming.is_empty()
-            && let Some(part) = &mut self.part
+            && let Some(part) = &mut self.partial
             && let Some(filled) = part.body.fill(|room| socket.read(room))?
         {
             return Ok(Some(filled));
         }
-        self.incoming.fill(most, |room| socket.read(room))
+        self.incoming.fill(max_bytes, |room| socket.read(room))
     }
 
-    fn rest(&self) {
-        let known = self.known.clone();
-        self.all.room.alarms.after(BREAK_US, move || known.inbox.post(ToClient::GoOn));
+    /// Sets the timer that ends a break.
+    fn take_break(&self) {
+        let connection = self.connection.clone();
+        self.listener.resources.alarms.after(BREAK_US, move || connection.inbox.post(ToConnection::Resume));
     }
 
-    /// Whether a further request may be read: the next, or beside others that change nothing.
-    fn may_take(&self) -> bool {
-        let most = self.all.desk.abreast();
-        !self.deaf && (self.line.is_empty() || (self.line.len() < most && self.line.iter().all(|d| d.light)))
+    /// Whether another request may be processed: if none is under way, or together with others that may be pipelined.
+    fn may_process_request(&self) -> bool {
+        let max = self.listener.handler.max_pipelined();
+        !self.no_more_requests
+            && (self.pending.is_empty()
+                || (self.pending.len() < max && self.pending.iter().all(|p| p.pipelinable)))
     }
 
-    /// Makes what it can of the bytes at hand.
-    fn digest(&mut self) {
-        while self.may_take() && !self.closing && !self.ended {
-            self.held = self.outgoing.len() >= MOST_OUT;
-            if self.held || self.streak > MOST_STREAK {
+    /// Processes as much as possible of the buffered bytes.
+    fn process_input(&mut self) {
+        while self.may_process_request() && !self.closing && !self.ended {
+            self.write_blocked = self.outgoing.len() >= MAX_UNWRITTEN_BYTES;
+            if self.write_blocked || self.streak > MAX_STREAK {
                 return;
             }
-            if self.streak == MOST_STREAK {
+            if self.streak == MAX_STREAK {
                 self.streak += 1;
-                self.rest();
+                self.take_break();
                 return;
             }
-            match self.advance() {
+            match self.process_part() {
                 Ok(true) => {}
                 Ok(false) => return,
                 Err(bad) => self.refuse(&bad),
@@ -401,18 +419,18 @@
         }
     }
 
-    /// One step: a head, or the rest of a body. False when more bytes are needed.
-    fn advance(&mut self) -> Result<bool, Bad> {
-        if let Some(part) = &mut self.part {
+    /// Processes one head, or what has come of a body. Returns false if more bytes are needed.
+    fn process_part(&mut self) -> Result<bool, Bad> {
+        if let Some(part) = &mut self.partial {
             let used = part.body.take(self.incoming.bytes())?;
             self.incoming.consume(used);
             if part.lease.as_mut().is_some_and(|lease| !lease.grow(part.body.content.len())) {
-                return Err(NO_ROOM);
+                return Err(OVER_LIMIT);
             }
             if part.body.done()
-                && let Some(part) = self.part.take()
+                && let Some(part) = self.partial.take()
             {
-                self.whole(part);
+                self.pass_to_handler(part);
                 return Ok(true);
             }
             return Ok(false);
@@ -420,106 +438,122 @@
         if self.incoming.is_empty() {
             return Ok(false);
         }
-        let (room, bounds) = (&self.all.room, self.all.desk.bounds());
+        let (resources, bounds) = (&self.listener.resources, self.listener.handler.bounds());
         let mut slots = http::NO_HEADERS;
         let Some(head) = http::request(self.incoming.bytes(), &mut slots, bounds)? else { return Ok(false) };
-        let light = matches!(head.method, "GET" | "HEAD") && head.framing == Framing::Length(0);
-        if !light && !self.line.is_empty() {
-            return Ok(false); // its turn comes once all before it are answered
+        let pipelinable = matches!(head.method, "GET" | "HEAD") && head.framing == Framing::Length(0);
+        if !pipelinable && !self.pending.is_empty() {
+            return Ok(false); // processed once all requests before it are answered
         }
-        let mut heard = self.all.desk.head(&head)?;
-        let expected = match head.framing {
+        let mut action = self.listener.handler.head(&head)?;
+        let body_bytes = match head.framing {
             Framing::Length(n) => n,
-            // How much it brings is not known; the leave grows with it.
+            // The size is not known; the memory permit grows with the body.
             _ => http::BLOCK_BYTES.min(bounds.body),
         };
         let (mut body, mut lease) = (Body::new(head.framing, bounds), None);
-        match &mut heard {
-            Heard::Take(_) if expected > 0 => lease = Some(room.memory.take(expected).ok_or(NO_ROOM)?),
-            Heard::Take(_) => {}
-            Heard::Say(answer) => {
-                let dropped = matches!(head.framing, Framing::Length(0..=MOST_DROPPED));
-                if !dropped || (expected > 0 && head.wants_continue) {
+        match &mut action {
+            HeadAction::Accept(_) if body_bytes > 0 => {
+                lease = Some(resources.memory.take(body_bytes).ok_or(OVER_LIMIT)?)
+            }
+            HeadAction::Accept(_) => {}
+            HeadAction::Answer(answer) => {
+                let dropped = matches!(head.framing, Framing::Length(0..=MAX_DROPPED_BODY_BYTES));
+                if !dropped || (body_bytes > 0 && head.wants_continue) {
                     answer.close = true;
                     body = Body::new(Framing::Length(0), bounds);
                 }
             }
         }
         let (len, wants) = (head.len, head.wants_continue);
-        let due = Due { head_only: head.method == "HEAD", last: head.close, light, ..Due::default() };
+        let pending = PendingAnswer {
+            head_only: head.method == "HEAD",
+            last: head.close,
+            pipelinable,
+            ..PendingAnswer::default()
+        };
         self.incoming.consume(len);
         if wants && self.incoming.is_empty() && !body.done() {
             self.outgoing.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        self.part = Some(Part { due, heard, body, lease });
+        self.partial = Some(PartialRequest { pending, action, body, lease });
         Ok(true)
     }
 
-    /// The request is whole: over to the desk, if it is not answered already.
-    fn whole(&mut self, part: Part<D::Ask>) {
-        // One that has brought requests before takes nothing from the lane; nor does the first request on a
-        // new one while others only sit there: hundreds that connect and stay silent must not keep out who
-        // has something to ask.
-        let first = self.known.asked.fetch_add(1, Ordering::Relaxed) == 0;
-        let mut due = part.due;
-        self.deaf |= due.last;
-        let ask = match part.heard {
-            Heard::Say(answer) => {
-                due.answer = Some(answer);
-                self.line.push_back(due);
-                return self.respond();
+    /// Passes a complete request to the handler, unless it is answered already.
+    fn pass_to_handler(&mut self, part: PartialRequest<H::Request>) {
+        // When only the descriptors for refusing requests are left, the first request of a connection is served only if
+        // another connection can be closed for it: hundreds of silent connections must not keep out a client that has a
+        // request. Later requests on a connection are always served.
+        let first = self.connection.request_count.fetch_add(1, Ordering::Relaxed) == 0;
+        let mut pending = part.pending;
+        self.no_more_requests |= pending.last;
+        let request = match part.action {
+            HeadAction::Answer(answer) => {
+                pending.answer = Some(answer);
+                self.pending.push_back(pending);
+                return self.send_available_answers();
             }
-            Heard::Take(ask) => ask,
+            HeadAction::Accept(request) => request,
         };
-        let all = self.all.clone();
-        if first && all.room.fds.full() && !all.make_room(true) {
-            all.room.refused_without_descriptors.fetch_add(1, Ordering::Relaxed);
-            (due.last, due.answer) = (true, Some(all.desk.refusal(&NO_ROOM)));
-            self.line.push_back(due);
-            return self.respond();
+        let listener = self.listener.clone();
+        if first && listener.resources.fds.full() && !listener.evict_one(true) {
+            listener.resources.refused_without_descriptors.fetch_add(1, Ordering::Relaxed);
+            (pending.last, pending.answer) = (true, Some(listener.handler.refusal(&OVER_LIMIT)));
+            self.pending.push_back(pending);
+            return self.send_available_answers();
         }
-        due.id = all.room.ids.fetch_add(1, Ordering::Relaxed);
-        let id = due.id;
-        self.line.push_back(due);
+        pending.id = listener.resources.ids.fetch_add(1, Ordering::Relaxed);
+        let id = pending.id;
+        self.pending.push_back(pending);
         let body = BufferedBody { bytes: part.body.content, lease: part.lease };
-        all.desk.asked(id, ask, body, Reply { id, to: To::Conn(self.known.inbox.clone()) });
+        listener.handler.handle(
+            id,
+            request,
+            body,
+            Reply { id, target: ReplyTarget::Connection(self.connection.inbox.clone()) },
+        );
     }
 
-    fn answer(&mut self, id: u64, answer: Answer) {
-        if let Some(due) = self.line.iter_mut().find(|d| d.id == id && d.answer.is_none()) {
-            due.answer = Some(answer);
-            self.respond();
+    fn set_answer(&mut self, id: u64, answer: Answer) {
+        if let Some(pending) = self.pending.iter_mut().find(|p| p.id == id && p.answer.is_none()) {
+            pending.answer = Some(answer);
+            self.send_available_answers();
         }
     }
 
-    /// Sends what is there of the answers that are next.
-    fn respond(&mut self) {
-        while self.paced.is_none() && !self.closing && self.line.front().is_some_and(|d| d.answer.is_some()) {
-            if let Some(due) = self.line.pop_front()
-                && let Some(answer) = due.answer
+    /// Sends the answers that are available, up to the first request still without one.
+    fn send_available_answers(&mut self) {
+        while self.paced.is_none()
+            && !self.closing
+            && self.pending.front().is_some_and(|p| p.answer.is_some())
+        {
+            if let Some(pending) = self.pending.pop_front()
+                && let Some(answer) = pending.answer
             {
-                self.say(answer, due.head_only, due.last);
+                self.send_answer(answer, pending.head_only, pending.last);
             }
         }
     }
 
-    fn say(&mut self, answer: Answer, head_only: bool, last: bool) {
+    fn send_answer(&mut self, answer: Answer, head_only: bool, last: bool) {
         self.streak += 1;
         if answer.cut && answer.body.as_ref().is_empty() {
-            (self.deaf, self.closing) = (true, true);
+            (self.no_more_requests, self.closing) = (true, true);
             return;
         }
-        let (fds, status) = (&self.all.room.fds, answer.status);
-        // Who comes often is the last to give way, as it would only have to connect again: now and then one.
-        let crowded = if self.known.asked() < 2 {
-            fds.short() || !self.all.may_sit()
+        let (fds, status) = (&self.listener.resources.fds, answer.status);
+        // A connection with several requests is closed last, and only now and then one, as its client would only have to
+        // connect again.
+        let evict = if self.connection.request_count() < 2 {
+            fds.short() || !self.listener.may_stay_after_one()
         } else {
-            fds.full() && self.all.may_part()
+            fds.full() && self.listener.may_evict_active()
         };
-        // What is under way behind it is answered first.
-        self.deaf |= last || answer.close || self.all.desk.draining() || crowded;
-        self.closing |= answer.cut || (self.deaf && self.line.is_empty());
-        self.deaf |= self.closing;
+        // The connection is closed only after the requests under way behind this one are answered.
+        self.no_more_requests |= last || answer.close || self.listener.handler.draining() || evict;
+        self.closing |= answer.cut || (self.no_more_requests && self.pending.is_empty());
+        self.no_more_requests |= self.closing;
         if status == 200 && !self.closing {
             self.outgoing.push(b"HTTP/1.1 200 OK\r\n");
         } else {
@@ -529,45 +563,49 @@
         }
         self.outgoing.push(&answer.headers);
         let length = answer.body.as_ref().len();
-        // To HEAD the length is that of the body that GET would have; where it is not known, none is told.
-        let unsaid = http::bodiless(status) || (head_only && length == 0);
-        if unsaid {
+        // In response to HEAD the length is that of the body of a GET; if it is not known, no length is sent.
+        let no_length = http::bodiless(status) || (head_only && length == 0);
+        if no_length {
             self.outgoing.push(b"\r\n");
         } else {
             self.outgoing.push(format!("Content-Length: {length}\r\n\r\n").as_bytes());
         }
-        if unsaid || head_only {
+        if no_length || head_only {
             return;
         }
         if answer.cut {
             self.outgoing.push(&answer.body.as_ref()[..length / 2]);
         } else if answer.pace_us > 0 && length > 0 {
-            let (piece, every_us) = (length.div_ceil(PIECES), answer.pace_us / PIECES as Micros);
-            self.paced = Some(Paced { body: answer.body, gone: 0, piece, every_us });
-            self.piece();
+            let (piece_bytes, interval_us) =
+                (length.div_ceil(PACED_PIECES), answer.pace_us / PACED_PIECES as Micros);
+            self.paced = Some(PacedBody { body: answer.body, sent: 0, piece_bytes, interval_us });
+            self.send_piece();
         } else {
             self.outgoing.push_bytes(answer.body);
         }
     }
 
-    /// The next piece of a paced body, and when the one after it is due.
-    fn piece(&mut self) {
+    /// Sends the next piece of a paced body and sets the timer for the one after it.
+    fn send_piece(&mut self) {
         let Some(mut p) = self.paced.take() else { return };
-        let to = (p.gone + p.piece).min(p.body.as_ref().len());
-        self.outgoing.push(&p.body.as_ref()[p.gone..to]);
-        p.gone = to;
+        let to = (p.sent + p.piece_bytes).min(p.body.as_ref().len());
+        self.outgoing.push(&p.body.as_ref()[p.sent..to]);
+        p.sent = to;
         if to == p.body.as_ref().len() {
-            return self.respond();
+            return self.send_available_answers();
         }
-        let (known, every_us) = (self.known.clone(), p.every_us);
+        let (connection, interval_us) = (self.connection.clone(), p.interval_us);
         self.paced = Some(p);
-        self.all.room.alarms.after(every_us, move || known.inbox.post(ToClient::Piece));
+        self.listener
+            .resources
+            .alarms
+            .after(interval_us, move || connection.inbox.post(ToConnection::NextPiece));
     }
 
     fn write(&mut self) -> io::Result<()> {
-        let held = self.outgoing.len();
-        let done = self.outgoing.flush(self.io.socket());
-        self.moved += held - self.outgoing.len();
-        done
+        let before = self.outgoing.len();
+        let result = self.outgoing.flush(self.io.socket());
+        self.progress_bytes += before - self.outgoing.len();
+        result
     }
 }
--- a/crates/net/src/listener/model.rs
+++ b/crates/net/src/listener/model.rs
@@ -1,11 +1,11 @@
-//! One client's connection before a desk that answers in any order: all courses at small size, by chance at larger.
-//! What comes may be split at each byte; the desk's answers may fail, be cut, or end the connection; the client
-//! may close its side, and the desk may drain, at any step.
+//! Model test of one client connection with a handler that answers in any order. Small cases run in all possible
+//! sequences of events, larger ones in random sequences. Input may be split at any byte; answers may fail, be cut or end
+//! the connection; the client may close its side, and the handler may drain, at any step.
 
 #[path = "../../tests/common/tape.rs"]
 mod tape;
 
-use super::connection::{Client, Turn};
+use super::connection::{Client, Next};
 use super::*;
 use crate::clock::{Alarms, Clock};
 use crate::http::NO_HEADERS;
@@ -20,22 +20,23 @@
 const BOUNDS: Bounds = Bounds { head: 2048, body: 2048 };
 
 #[derive(Default)]
-struct Ends {
-    to_door: VecDeque<u8>,
-    closed: bool,
+struct Streams {
+    to_listener: VecDeque<u8>,
+    client_closed: bool,
     to_client: Vec<u8>,
-    over: bool,
+    shut_down: bool,
 }
 
+/// A simulated connection.
 #[derive(Clone, Default)]
-struct Pipe(Rc<RefCell<Ends>>);
+struct Pipe(Rc<RefCell<Streams>>);
 
 impl Read for Pipe {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        let mut ends = self.0.borrow_mut();
-        match ends.to_door.is_empty() {
-            false => ends.to_door.read(buf),
-            true if ends.closed => Ok(0),
+        let mut streams = self.0.borrow_mut();
+        match streams.to_listener.is_empty() {
+            false => streams.to_listener.read(buf),
+            true if streams.client_closed => Ok(0),
             true => Err(ErrorKind::WouldBlock.into()),
         }
     }
@@ -58,52 +59,58 @@
     }
 
     fn shutdown(&self, _: Shutdown) -> io::Result<()> {
-        self.0.borrow_mut().over = true;
+        self.0.borrow_mut().shut_down = true;
         Ok(())
     }
 }
 
-/// Keeps what it is asked.
+/// A handler that keeps requests for the test to answer.
 #[derive(Default)]
-struct Hand {
-    asked: Mutex<Vec<(u64, String, Reply)>>,
-    heard: Mutex<Vec<(u64, String)>>,
-    withdrawn: Mutex<Vec<u64>>,
+struct ManualHandler {
+    unanswered: Mutex<Vec<(u64, String, Reply)>>,
+    received: Mutex<Vec<(u64, String)>>,
+    gone: Mutex<Vec<u64>>,
     draining: AtomicBool,
 }
 
-impl Desk for Hand {
-    type Ask = String;
+impl Handler for ManualHandler {
+    type Request = String;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         let (read_us, idle_us) = (60_000_000, 60_000_000);
-        Patience { first_us: None, read_us, write_us: read_us, once_idle_us: idle_us, idle_us }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us,
+            write_us: read_us,
+            idle_after_one_us: idle_us,
+            idle_us,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<super::Heard<String>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<String>, Bad> {
         match head.target {
             "/bad" => Err(Bad { status: 404, what: "" }),
-            "/now" => Ok(super::Heard::Say(Answer::text(200, "/now"))),
-            target => Ok(super::Heard::Take(target.to_string())),
+            "/now" => Ok(HeadAction::Answer(Answer::text(200, "/now"))),
+            target => Ok(HeadAction::Accept(target.to_string())),
         }
     }
 
-    fn asked(&self, id: u64, ask: String, body: BufferedBody, reply: Reply) {
-        let whole = format!("{ask}{}", String::from_utf8_lossy(&body.bytes));
-        self.heard.lock().expect("whole").push((id, whole.clone()));
-        self.asked.lock().expect("whole").push((id, whole, reply));
+    fn handle(&self, id: u64, request: String, body: BufferedBody, reply: Reply) {
+        let whole = format!("{request}{}", String::from_utf8_lossy(&body.bytes));
+        self.received.lock().expect("not poisoned").push((id, whole.clone()));
+        self.unanswered.lock().expect("not poisoned").push((id, whole, reply));
     }
 
-    fn abreast(&self) -> usize {
+    fn max_pipelined(&self) -> usize {
         3
     }
 
-    fn withdrawn(&self, id: u64) {
-        self.withdrawn.lock().expect("whole").push(id);
+    fn client_gone(&self, id: u64) {
+        self.gone.lock().expect("not poisoned").push(id);
     }
 
     fn draining(&self) -> bool {
@@ -115,13 +122,13 @@
     }
 }
 
-/// Yes or no; by chance seldom yes.
+/// A choice of true or false; in random runs seldom true.
 fn seldom(tape: &mut Tape) -> bool {
     let of = if tape.rng.is_some() { 8 } else { 2 };
     tape.pick(of) == 1
 }
 
-/// What a client sends; what its answer must bear; whether the connection must end with it.
+/// Requests of a client, with the body that the answer must have (empty: an error).
 const REQUESTS: [(&str, &str); 7] = [
     ("GET /1 HTTP/1.1\r\nHost: x\r\n\r\n", "/1"),
     ("POST /2 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", "/2abc"),
@@ -132,112 +139,117 @@
     ("no request at all\r\n\r\n", ""),
 ];
 
+/// A fault planted to show that the checks find it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Plant {
+enum PlantedFault {
+    /// An answer carries the body of another request.
     OutOfOrder,
+    /// A cut answer is sent as a complete one.
     CutLooksWhole,
 }
 
-/// One connection; what of it is wrong.
-fn course(
-    room: &Arc<Resources>,
+/// Runs one connection; returns what went wrong, if anything.
+fn run(
+    resources: &Arc<Resources>,
     alarm: &Alarm,
     tape: &mut Tape,
     sent: &[usize],
-    plant: Option<Plant>,
+    planted: Option<PlantedFault>,
 ) -> Option<String> {
-    let desk = Arc::new(Hand::default());
-    let door = Arc::new(Door {
-        room: room.clone(),
-        desk: desk.clone(),
+    let handler = Arc::new(ManualHandler::default());
+    let listener = Arc::new(Listener {
+        resources: resources.clone(),
+        handler: handler.clone(),
         addr: "127.0.0.1:1".parse().expect("an address"),
         open: Mutex::default(),
-        bell: alarm.waker(),
+        waker: alarm.waker(),
         paused: AtomicBool::new(false),
-        shut: AtomicBool::new(false),
-        sitting: AtomicUsize::new(0),
-        parted_at: AtomicU64::new(u64::MAX / 2),
+        stopped: AtomicBool::new(false),
+        idle_after_one: AtomicUsize::new(0),
+        evicted_at: AtomicU64::new(u64::MAX / 2),
     });
-    let known = Arc::new(Known {
+    let connection = Arc::new(Connection {
         inbox: Arc::new(Mailbox::new(alarm.waker())),
-        doing: AtomicU8::new(Doing::Idle as u8),
+        state: AtomicU8::new(State::Idle as u8),
         since: AtomicU64::new(0),
-        born: 0,
-        asked: AtomicU32::new(0),
+        opened_at: 0,
+        request_count: AtomicU32::new(0),
     });
-    let (pipe, fd) = (Pipe::default(), room.fds.take(ConnectionKind::Client).expect("room"));
-    let mut client = Client::new(pipe.clone(), door, known, fd);
+    let (pipe, fd) = (Pipe::default(), resources.fds.take(ConnectionKind::Client).expect("a descriptor"));
+    let mut client = Client::new(pipe.clone(), listener, connection, fd);
     let bytes: Vec<u8> = sent.iter().flat_map(|n| REQUESTS[*n].0.bytes()).collect();
     let split = tape.pick(bytes.len());
     let mut parts = vec![bytes[split..].to_vec(), bytes[..split].to_vec()];
-    let (mut over, mut cut, mut left) = (false, false, false);
-    // So often the desk lets something else come first.
+    let (mut over, mut cut, mut client_left) = (false, false, false);
+    // How often the handler may leave its requests unanswered while something else happens.
     let mut waits = 2;
-    let mut said: Vec<(u64, Vec<u8>)> = Vec::new();
+    let mut answered: Vec<(u64, Vec<u8>)> = Vec::new();
     for _ in 0..40 {
-        let mut seen = 0;
+        let mut events = 0;
         if let Some(part) = parts.pop() {
-            pipe.0.borrow_mut().to_door.extend(part);
-            seen = events::READABLE;
-        } else if !left && seldom(tape) {
-            left = true;
-            pipe.0.borrow_mut().closed = true;
-            seen = events::READABLE | events::ENDED;
+            pipe.0.borrow_mut().to_listener.extend(part);
+            events = events::READABLE;
+        } else if !client_left && seldom(tape) {
+            client_left = true;
+            pipe.0.borrow_mut().client_closed = true;
+            events = events::READABLE | events::ENDED;
         }
-        let waiting = desk.asked.lock().expect("whole").len();
-        if seen == 0 && waiting == 0 && parts.is_empty() {
+        let waiting = handler.unanswered.lock().expect("not poisoned").len();
+        if events == 0 && waiting == 0 && parts.is_empty() {
             break;
         }
-        // Any of those that wait is answered, in some way.
+        // Any of the waiting requests is answered, in some way.
         let wait = waiting > 0 && waits > 0 && tape.pick(2) == 1;
         waits -= usize::from(wait);
         if waiting > 0 && !wait {
-            let (id, whole, reply) = desk.asked.lock().expect("whole").remove(tape.pick(waiting));
+            let (id, whole, reply) =
+                handler.unanswered.lock().expect("not poisoned").remove(tape.pick(waiting));
             let mut answer = Answer::new(200, Vec::new(), whole.clone().into_bytes());
             match tape.pick(5) {
                 1 => answer.status = 502,
                 2 => answer.close = true,
                 3 => (answer.cut, cut) = (true, true),
-                4 => desk.draining.store(true, Ordering::Relaxed),
+                4 => handler.draining.store(true, Ordering::Relaxed),
                 _ => {}
             }
-            if plant == Some(Plant::OutOfOrder) && waiting > 1 {
-                let other = &desk.asked.lock().expect("whole")[0].1;
+            if planted == Some(PlantedFault::OutOfOrder) && waiting > 1 {
+                let other = &handler.unanswered.lock().expect("not poisoned")[0].1;
                 answer.body = other.clone().into_bytes().into();
             }
-            if plant == Some(Plant::CutLooksWhole) && answer.cut {
+            if planted == Some(PlantedFault::CutLooksWhole) && answer.cut {
                 answer.cut = false;
                 answer.body = whole.as_bytes()[..whole.len() / 2].to_vec().into();
             }
-            said.push((id, whole.into_bytes()));
+            answered.push((id, whole.into_bytes()));
             reply.send(answer);
         }
-        let mut turn = client.turn(seen);
-        while turn == Turn::Again {
-            turn = client.turn(0);
+        let mut next = client.step(events);
+        while next == Next::Again {
+            next = client.step(0);
         }
-        if turn != Turn::Wait {
+        if next != Next::Wait {
             over = true;
             break;
         }
     }
-    client.leave();
-    let (ends, heard) = (pipe.0.borrow(), desk.heard.lock().expect("whole").clone());
-    // Each request that the desk had is answered by it or withdrawn, and is whole and in its order.
+    client.report_unanswered();
+    let streams = pipe.0.borrow();
+    let received = handler.received.lock().expect("not poisoned").clone();
+    // Requests come to the handler complete and in order, and each is answered or reported as gone.
     let expected: Vec<&str> =
         sent.iter().map(|n| REQUESTS[*n].1).filter(|b| !["", "/now"].contains(b)).collect();
-    if !expected.iter().zip(&heard).all(|(e, h)| *e == h.1) || heard.len() > expected.len() {
-        return Some(format!("HEARD {heard:?}"));
+    if !expected.iter().zip(&received).all(|(e, r)| *e == r.1) || received.len() > expected.len() {
+        return Some(format!("HEARD {received:?}"));
     }
-    for (id, _) in &heard {
-        let gone = desk.withdrawn.lock().expect("whole").contains(id);
-        let answered = said.iter().any(|s| s.0 == *id);
-        if over && !answered && (!gone || (!left && !cut)) {
+    for (id, _) in &received {
+        let gone = handler.gone.lock().expect("not poisoned").contains(id);
+        let answered = answered.iter().any(|s| s.0 == *id);
+        if over && !answered && (!gone || (!client_left && !cut)) {
             return Some(format!("OWED {id}"));
         }
     }
-    // What the client reads: whole answers, in the order of its requests, until an end that shows.
-    let (mut rest, mut n, mut last) = (&ends.to_client[..], 0, false);
+    // The client reads complete answers in the order of its requests, up to an end that it can recognise.
+    let (mut rest, mut n, mut last) = (&streams.to_client[..], 0, false);
     while !rest.is_empty() {
         let mut slots = NO_HEADERS;
         let head = match http::response(rest, &mut slots, BOUNDS, false) {
@@ -245,8 +257,8 @@
             other => return Some(format!("GARBLED {other:?}")),
         };
         let http::Framing::Length(length) = head.framing else { return Some("UNFRAMED".into()) };
-        let parted = sent[..n.min(sent.len())].contains(&4);
-        if last || parted || n >= sent.len() {
+        let close_requested = sent[..n.min(sent.len())].contains(&4);
+        if last || close_requested || n >= sent.len() {
             return Some("UNASKED".into());
         }
         last = head.close;
@@ -254,9 +266,10 @@
         let wanted = REQUESTS[sent[n]].1;
         let short = body.len() < length;
         let right = body == wanted.as_bytes() || (short && cut && wanted.as_bytes().starts_with(body));
-        // An answer of the door's own ends the connection and bears nothing.
-        let own = body.is_empty() && last && (400..500).contains(&head.status) && wanted.is_empty();
-        if !right && !own {
+        // An error answer of the listener itself ends the connection and has no body.
+        let listener_error =
+            body.is_empty() && last && (400..500).contains(&head.status) && wanted.is_empty();
+        if !right && !listener_error {
             return Some(format!("MIXED answer {n}: {}", String::from_utf8_lossy(body)));
         }
         if short && !(cut && over) {
@@ -268,55 +281,55 @@
     None
 }
 
-fn room() -> Arc<Resources> {
+fn resources() -> Arc<Resources> {
     let clock = Clock::start();
     let alarms = Alarms::start(clock).expect("a timer");
     Arc::new(Resources::new(4000, 64, clock, alarms, Box::new(|_| {})))
 }
 
-/// All courses of what is sent; how many, and the first with a fault.
-fn all(sent: &[usize], plant: Option<Plant>) -> (u64, Option<String>) {
-    let (room, alarm) = (room(), Alarm::new(Clock::start()).expect("a timer"));
+/// Runs all sequences of events with these requests; returns how many ran, and the first fault found.
+fn run_all(sent: &[usize], planted: Option<PlantedFault>) -> (u64, Option<String>) {
+    let (resources, alarm) = (resources(), Alarm::new(Clock::start()).expect("a timer"));
     let mut tape = Tape::new(None);
     let mut count = 0;
     loop {
         count += 1;
-        if let Some(fault) = course(&room, &alarm, &mut tape, sent, plant) {
+        if let Some(fault) = run(&resources, &alarm, &mut tape, sent, planted) {
             let picks: Vec<usize> = tape.picks.iter().map(|p| p.0).collect();
             return (count, Some(format!("{fault} in {picks:?}")));
         }
-        if !tape.turn_over() {
+        if !tape.next_combination() {
             return (count, None);
         }
     }
 }
 
 #[test]
-fn in_all_small_courses_a_client_reads_whole_answers_in_its_order() {
+fn in_all_small_sequences_a_client_reads_whole_answers_in_its_order() {
     for sent in [&[0][..], &[1], &[2], &[6], &[0, 4], &[4, 0], &[3, 0], &[0, 5]] {
-        let (count, fault) = all(sent, None);
-        println!("{sent:?}: {count} courses");
+        let (count, fault) = run_all(sent, None);
+        println!("{sent:?}: {count} sequences");
         assert_eq!(fault, None, "{sent:?}");
     }
 }
 
 #[test]
-fn so_it_does_in_longer_courses_by_chance() {
-    let (room, alarm) = (room(), Alarm::new(Clock::start()).expect("a timer"));
+fn in_longer_random_sequences_a_client_reads_whole_answers_in_its_order() {
+    let (resources, alarm) = (resources(), Alarm::new(Clock::start()).expect("a timer"));
     for seed in 0..4000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let sent: Vec<usize> = (0..rng.usize(2..7)).map(|_| rng.usize(0..REQUESTS.len())).collect();
         let mut tape = Tape::new(Some(rng));
-        let fault = course(&room, &alarm, &mut tape, &sent, None);
+        let fault = run(&resources, &alarm, &mut tape, &sent, None);
         assert_eq!(fault, None, "seed {seed}: {sent:?}");
     }
 }
 
 #[test]
 fn answers_out_of_order_and_cut_ones_that_look_whole_are_seen() {
-    for (plant, sent) in [(Plant::OutOfOrder, &[0, 4][..]), (Plant::CutLooksWhole, &[0])] {
-        let (_, fault) = all(sent, Some(plant));
-        println!("{plant:?}: {fault:?}");
-        assert!(fault.is_some_and(|f| f.starts_with("MIXED")), "{plant:?}");
+    for (planted, sent) in [(PlantedFault::OutOfOrder, &[0, 4][..]), (PlantedFault::CutLooksWhole, &[0])] {
+        let (_, fault) = run_all(sent, Some(planted));
+        println!("{planted:?}: {fault:?}");
+        assert!(fault.is_some_and(|f| f.starts_with("MIXED")), "{planted:?}");
     }
 }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -41,7 +41,7 @@
     fn ended(&self, ended: Ended<Self>);
 
     /// No descriptor is left: idle connections to servers are to give way.
-    fn crowded(&self) {}
+    fn descriptors_exhausted(&self) {}
 }
 
 /// What an answer's head is to the attempt that waits.
@@ -435,7 +435,7 @@
             return self.refuse(job, Cause::MostConnections);
         }
         let Some(fd) = self.room.fds.take(ConnectionKind::Server) else {
-            self.wire.crowded();
+            self.wire.descriptors_exhausted();
             return self.refuse(job, Cause::NoDescriptor);
         };
         let io = match socket::connect(self.addr, self.settings.silence) {
@@ -443,7 +443,7 @@
             Err(e) => {
                 // Also where the system gives fewer descriptors than the configuration says.
                 if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) {
-                    self.wire.crowded();
+                    self.wire.descriptors_exhausted();
                 }
                 return self.refuse(job, Cause::Io(e));
             }
--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -6,7 +6,7 @@
 use net::errors::{Cause, Progress};
 use net::http::{self, Bad, Body, Bounds, NO_HEADERS};
 use net::limits::BufferedBody;
-use net::listener::{self, Answer, Desk, Door, Patience, Reply};
+use net::listener::{self, Answer, ClientTimeouts, Handler, Listener, Reply};
 use net::pool::exchange::{Exchange, Left, Then};
 use net::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
 use net::resources::Resources;
@@ -393,28 +393,34 @@
 /// Answers with what it was asked.
 struct Echo;
 
-impl Desk for Echo {
-    type Ask = String;
+impl Handler for Echo {
+    type Request = String;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         let us = 30_000_000;
-        Patience { first_us: None, read_us: 300_000, write_us: us, once_idle_us: us, idle_us: us }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us: 300_000,
+            write_us: us,
+            idle_after_one_us: us,
+            idle_us: us,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<listener::Heard<String>, Bad> {
-        Ok(listener::Heard::Take(format!("{} {}", head.method, head.target)))
+    fn head(&self, head: &http::Request) -> Result<listener::HeadAction<String>, Bad> {
+        Ok(listener::HeadAction::Accept(format!("{} {}", head.method, head.target)))
     }
 
-    fn asked(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
+    fn handle(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
         let content = String::from_utf8_lossy(&body.bytes).into_owned();
         reply.send(Answer::text(200, format!("{ask} {content}").trim_end()));
     }
 
-    fn withdrawn(&self, _: u64) {}
+    fn client_gone(&self, _: u64) {}
 
     fn draining(&self) -> bool {
         false
@@ -428,7 +434,7 @@
 #[test]
 fn requests_are_the_same_over_sockets() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let door = Door::start(any, room(), Arc::new(Echo)).expect("a port");
+    let door = Listener::start(any, room(), Arc::new(Echo)).expect("a port");
     for (name, (expected, bytes)) in corpus("requests") {
         for at in [0, bytes.len() / 3, bytes.len() / 2, bytes.len() - 1] {
             let mut client = TcpStream::connect(door.addr()).expect("connects");
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -7,7 +7,7 @@
 use net::errors::Progress;
 use net::http::{self, Bad, Bounds};
 use net::limits::{BufferedBody, ConnectionKind, Fd};
-use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Listener, Reply};
 use net::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
 use net::resources::Resources;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -246,34 +246,40 @@
     asked_patience: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
-impl Desk for Hand {
-    type Ask = String;
+impl Handler for Hand {
+    type Request = String;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         if let Some(call) = self.asked_patience.get() {
             call();
         }
         let (idle_us, read_us) = (self.idle_us.load(Ordering::Relaxed), self.read_us.load(Ordering::Relaxed));
-        Patience { first_us: None, read_us, write_us: 5_000_000, once_idle_us: idle_us, idle_us }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us,
+            write_us: 5_000_000,
+            idle_after_one_us: idle_us,
+            idle_us,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<String>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<String>, Bad> {
         match head.target {
             "/bad" => Err(Bad { status: 404, what: "no route" }),
-            "/now" => Ok(Heard::Say(Answer::text(200, "now"))),
-            target => Ok(Heard::Take(target.to_string())),
+            "/now" => Ok(HeadAction::Answer(Answer::text(200, "now"))),
+            target => Ok(HeadAction::Accept(target.to_string())),
         }
     }
 
-    fn asked(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
+    fn handle(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
         let _ = self.asked.lock().expect("whole").send((ask, body, reply));
     }
 
-    fn withdrawn(&self, id: u64) {
+    fn client_gone(&self, id: u64) {
         let _ = self.withdrawn.lock().expect("whole").send(id);
     }
 
@@ -299,11 +305,11 @@
 }
 
 /// With the door itself.
-fn open_held() -> (Open, Arc<Door<Hand>>) {
+fn open_held() -> (Open, Arc<Listener<Hand>>) {
     open_held_in(room())
 }
 
-fn open_held_in(room: Arc<Resources>) -> (Open, Arc<Door<Hand>>) {
+fn open_held_in(room: Arc<Resources>) -> (Open, Arc<Listener<Hand>>) {
     let ((tell, asked), (tell_gone, withdrawn)) = (channel(), channel());
     let desk = Hand {
         asked: Mutex::new(tell),
@@ -315,7 +321,7 @@
     };
     let desk = Arc::new(desk);
     let any = "127.0.0.1:0".parse().expect("an address");
-    let door = Door::start(any, room.clone(), desk.clone()).expect("a port");
+    let door = Listener::start(any, room.clone(), desk.clone()).expect("a port");
     (Open { room, desk, addr: door.addr(), asked, withdrawn }, door)
 }
 
@@ -431,7 +437,7 @@
     let mut early = door.connect();
     say(&early, "GET /early HTTP/1.1\r\nHost: x\r\n\r\n");
     let (_, _, reply) = door.asked();
-    held.shut();
+    held.stop_accepting();
     // Refused, or ended unread, once the listener is gone; until then it is served like any other.
     let mut late = Vec::new();
     while let Ok(stream) = TcpStream::connect(door.addr) {
@@ -464,7 +470,7 @@
     let (begun, addr) = (Arc::new(Mutex::new(Vec::new())), door.addr);
     let more = begun.clone();
     let call = Box::new(move || {
-        held.shut();
+        held.stop_accepting();
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.set_nonblocking(true).expect("an option");
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -7,7 +7,7 @@
 use miette::{Result, miette};
 use net::http::{self, Bad, Bounds};
 use net::limits::BufferedBody;
-use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Listener, Reply};
 use net::pool::{self, Job, Peer};
 use net::resources::Resources;
 use proxy::feed::{self, Feed};
@@ -73,11 +73,11 @@
     let shown = Arc::new(Shown::default());
     let desk = Arc::new(Requests { inbox: inbox.clone(), shown: shown.clone() });
     let listen = s.front_plain()?;
-    let door = Door::start(listen, room.clone(), desk);
+    let door = Listener::start(listen, room.clone(), desk);
     let door = door.map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     if let Ok(listen) = s.readiness() {
         let desk = Arc::new(Readiness { shown: shown.clone() });
-        Door::start(listen, room.clone(), desk).map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
+        Listener::start(listen, room.clone(), desk).map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
     let posts = inbox.clone();
     start.watch(move |asked| posts.post(Told::Signal(asked)))?;
@@ -176,21 +176,27 @@
 /// Headers of a client that no server sees.
 const HELD_BACK: [&str; 4] = ["X-Time-Left", "Authorization", "X-Tenant-Name", "X-Expected-Instance"];
 
-impl Desk for Requests {
-    type Ask = Ask;
+impl Handler for Requests {
+    type Request = Ask;
 
     fn bounds(&self) -> Bounds {
         let get = |n: &AtomicUsize| n.load(Ordering::Relaxed);
         Bounds { head: get(&self.shown.head), body: get(&self.shown.body) }
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         let (wait, idle) = (get(&self.shown.header_wait_us), get(&self.shown.idle_us));
-        Patience { first_us: None, read_us: wait, write_us: idle, once_idle_us: idle, idle_us: idle }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us: wait,
+            write_us: idle,
+            idle_after_one_us: idle,
+            idle_us: idle,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Ask>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<Ask>, Bad> {
         let text =
             |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim);
         let name = text("X-Attempt-Id").filter(|id| !id.is_empty());
@@ -201,7 +207,7 @@
         let key = key.filter(|(kind, _)| kind.eq_ignore_ascii_case("Token"));
         let mut lines = Vec::with_capacity(head.len);
         http::copy_end_to_end_headers(head.headers, &HELD_BACK, &mut lines);
-        Ok(Heard::Take(Ask {
+        Ok(HeadAction::Accept(Ask {
             id: 0,
             method: head.method.to_string(),
             target: head.target.to_string(),
@@ -214,15 +220,15 @@
         }))
     }
 
-    fn asked(&self, id: u64, ask: Ask, body: BufferedBody, reply: Reply) {
+    fn handle(&self, id: u64, ask: Ask, body: BufferedBody, reply: Reply) {
         self.inbox.post(Told::Asked(Ask { id, body, ..ask }, reply));
     }
 
-    fn abreast(&self) -> usize {
+    fn max_pipelined(&self) -> usize {
         ABREAST
     }
 
-    fn withdrawn(&self, id: u64) {
+    fn client_gone(&self, id: u64) {
         self.inbox.post(Told::Withdrawn(id));
     }
 
@@ -240,20 +246,26 @@
     shown: Arc<Shown>,
 }
 
-impl Desk for Readiness {
-    type Ask = ();
+impl Handler for Readiness {
+    type Request = ();
 
     fn bounds(&self) -> Bounds {
         Bounds { head: LIMITS.0, body: 4096 }
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         let (read_us, idle_us) = (LIMITS.2, LIMITS.3);
-        Patience { first_us: None, read_us, write_us: read_us, once_idle_us: idle_us, idle_us }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us,
+            write_us: read_us,
+            idle_after_one_us: idle_us,
+            idle_us,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<()>, Bad> {
-        Ok(Heard::Say(match settings::api::Call::of(head.method, head.target) {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<()>, Bad> {
+        Ok(HeadAction::Answer(match settings::api::Call::of(head.method, head.target) {
             Some((settings::api::Call::Ready, _)) if self.shown.ready.load(Ordering::Relaxed) => {
                 Answer::text(200, "ready\n")
             }
@@ -262,11 +274,11 @@
         }))
     }
 
-    fn asked(&self, _: u64, (): (), _: BufferedBody, reply: Reply) {
+    fn handle(&self, _: u64, (): (), _: BufferedBody, reply: Reply) {
         reply.send(Answer::text(404, "no such call\n"));
     }
 
-    fn withdrawn(&self, _: u64) {}
+    fn client_gone(&self, _: u64) {}
 
     fn draining(&self) -> bool {
         false
@@ -302,7 +314,7 @@
     inbox: Inbox<Told>,
     out: Vec<front::Output>,
     news: Vec<feed::Output>,
-    door: Arc<Door<Requests>>,
+    door: Arc<Listener<Requests>>,
     over: Sender<()>,
     grace_us: Micros,
     asked_at: Option<Micros>,
@@ -477,7 +489,7 @@
     fn over(&self, now: Micros) -> bool {
         let Some(asked_at) = self.asked_at else { return false };
         if now >= asked_at + STILL_COMING_US {
-            self.door.shut();
+            self.door.stop_accepting();
         }
         let late = now >= asked_at + self.grace_us.saturating_sub(SPARE_US);
         late || (now >= asked_at + STILL_COMING_US + SHUT_US && self.door.count() == 0)
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -553,7 +553,7 @@
             return (count, Some(format!("{first} in {picks:?}")));
         }
         tape = after;
-        if !tape.turn_over() {
+        if !tape.next_combination() {
             return (count, None);
         }
     }
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -7,7 +7,7 @@
 use net::Micros;
 use net::http::{self, Bad, Bounds};
 use net::limits::BufferedBody;
-use net::listener::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Listener, Reply};
 use registry::board::{Board, Input, Output, REPEAT_US, Terms};
 use registry::calls::{self, Request};
 use runtime::link::{Event, Line, SILENCE, Tie};
@@ -64,7 +64,7 @@
     let mut listens = vec![s.control()?];
     listens.extend(s.directory().ok().filter(|d| !listens.contains(d)));
     for listen in listens {
-        Door::start(listen, room.clone(), desk.clone())
+        Listener::start(listen, room.clone(), desk.clone())
             .map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
     let peers = start.listen(REGISTRY_PEERS, &inbox, Told::PeerTaken, Told::PeerSays)?;
@@ -101,22 +101,22 @@
     draining: Arc<AtomicBool>,
 }
 
-impl Desk for Calls {
-    type Ask = Request;
+impl Handler for Calls {
+    type Request = Request;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         const SOME: Micros = 10_000_000;
-        let (read_us, write_us, once_idle_us, idle_us) = (SOME, SOME, SOME, 3 * SOME);
-        Patience { first_us: None, read_us, write_us, once_idle_us, idle_us }
+        let (read_us, write_us, idle_after_one_us, idle_us) = (SOME, SOME, SOME, 3 * SOME);
+        ClientTimeouts { first_request_us: None, read_us, write_us, idle_after_one_us, idle_us }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Request>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<Request>, Bad> {
         let text = |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok());
-        Ok(Heard::Take(Request {
+        Ok(HeadAction::Accept(Request {
             method: head.method.to_string(),
             target: head.target.to_string(),
             if_match: text("If-Match").map(|v| v.trim().trim_matches('"').to_string()),
@@ -124,12 +124,12 @@
         }))
     }
 
-    fn asked(&self, id: u64, mut ask: Request, body: BufferedBody, reply: Reply) {
+    fn handle(&self, id: u64, mut ask: Request, body: BufferedBody, reply: Reply) {
         ask.body = body.bytes;
         self.inbox.post(Told::Call(id, ask, reply));
     }
 
-    fn withdrawn(&self, id: u64) {
+    fn client_gone(&self, id: u64) {
         self.inbox.post(Told::CallGone(id));
     }
 
