--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -7,7 +7,7 @@
 use net::http::{self, Bad, Bounds, Framing};
 use net::limits::BufferedBody;
 use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Reply};
-use net::pool::Passage;
+use net::pool::ForwardedRequest;
 use std::sync::Arc;
 
 /// Size limits in bytes of a client's or a server's message.
@@ -72,7 +72,7 @@
         request.until += self.0.room.clock.now();
         request.id = id;
         request.client = Some(reply);
-        request.passage = Passage { head: std::mem::take(&mut request.passage.head), body };
+        request.passage = ForwardedRequest { head: std::mem::take(&mut request.passage.head), body };
         self.0.decisions.post(DecisionMessage::Request(request));
     }
 
--- a/crates/gateway/src/decisions.rs
+++ b/crates/gateway/src/decisions.rs
@@ -11,7 +11,7 @@
 use net::errors::AttemptError;
 use net::limits::ConnectionKind;
 use net::listener::{Answer, Reply};
-use net::pool::{Job, Passage, Peer};
+use net::pool::{ForwardedRequest, Job, Peer};
 use net::timeouts::Timeouts;
 use std::collections::hash_map::Entry::Occupied;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -23,7 +23,7 @@
     /// The client's own name for the request.
     name: Arc<[u8]>,
     client: Option<Reply>,
-    passage: Arc<Passage>,
+    passage: Arc<ForwardedRequest>,
     /// When the client stops waiting.
     until: Micros,
     /// The most units that a request of its plan can use.
@@ -333,7 +333,7 @@
         let same_server = open.attempts.iter().any(|a| a.server == server);
         let sent = peer.as_ref().is_some_and(|peer| {
             let (passage, note) = (open.passage.clone(), InPoolGuard::new(&self.shared.attempts_in_pools));
-            peer.send(Job { id, attempt, passage, again: same_server, until, note })
+            peer.send(Job { id, attempt, request: passage, same_server_retry: same_server, until, note })
         });
         open.attempts.push(Attempt { server, peer, sent_at: self.now, in_flight: true });
         self.counts.sent += 1;
@@ -397,7 +397,7 @@
             self.servers.retain(|id, listed| {
                 let stays = ids.contains(id.as_str());
                 if !stays && let Some(peer) = self.peers.remove(&listed.server) {
-                    peer.gone();
+                    peer.remove();
                 }
                 stays
             });
@@ -430,7 +430,7 @@
             if m.state == State::Gone {
                 self.servers.remove(&m.id);
                 if let Some(peer) = self.peers.remove(&server) {
-                    peer.gone();
+                    peer.remove();
                 }
                 continue;
             }
@@ -442,7 +442,7 @@
                     if before.is_some_and(|b| b.up_since_us != entry.up_since_us) {
                         peer.close_idle();
                     }
-                    peer.listed(addr, up);
+                    peer.update(addr, up);
                 }
                 (None, Some(addr)) if up => {
                     self.peers.insert(server, servers::start(addr, &self.handler));
@@ -543,7 +543,8 @@
     }
 
     fn send_request(actor: &mut DecisionActor, id: u64, client: &Sender<(u64, Answer)>) {
-        let passage = Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() };
+        let passage =
+            ForwardedRequest { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() };
         let until = actor.shared.room.clock.now() + 1_500_000;
         let (units, spread, first, repeat) = (1.0, 1, 0, false);
         let client = client.clone();
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -6,7 +6,7 @@
 use curlewfront_config::Members;
 use net::errors::AttemptError;
 use net::listener::{Answer, Reply};
-use net::pool::Passage;
+use net::pool::ForwardedRequest;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -41,7 +41,7 @@
     pub spread: u32,
     pub first: u32,
     pub repeat: bool,
-    pub passage: Passage,
+    pub passage: ForwardedRequest,
 }
 
 /// How an attempt ended.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -5,7 +5,7 @@
 use curlewfront::{Micros, Plan};
 use net::http::{self, Bad};
 use net::limits::BufferedBody;
-use net::pool::Passage;
+use net::pool::ForwardedRequest;
 
 /// Checks the head of a request and reads its headers. `until` of the result is still a duration: the time allowed,
 /// counted from the request's last byte. `id`, `client` and the body are filled in later.
@@ -45,7 +45,7 @@
         passed_on.extend_from_slice(part.as_bytes());
     }
     http::copy_end_to_end_headers(head.headers, &["Request-Timeout"], &mut passed_on);
-    let passage = Passage { head: passed_on, body: BufferedBody::default() };
+    let passage = ForwardedRequest { head: passed_on, body: BufferedBody::default() };
     Ok(ClientRequest {
         id: 0,
         name,
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -7,7 +7,7 @@
 use net::Micros;
 use net::http;
 use net::listener::Answer;
-use net::pool::{Ended, Heard, Job, Peer, Settings, Wire};
+use net::pool::{Ended, Job, Peer, ResponseMatch, Settings, Wire};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -35,8 +35,8 @@
         // An old connection that the server might close at any moment is worth less than a new one: an attempt written
         // to it would count as one that may have run.
         idle_us: config.conn_idle_us / 2,
-        most: usize::MAX,
-        silence: None,
+        max_connections: usize::MAX,
+        tcp_user_timeout: None,
         bounds: BOUNDS,
     };
     Peer::start(addr, handler.0.room.clone(), handler.clone(), settings)
@@ -53,13 +53,13 @@
 
 impl Wire for ServerHandler {
     type Note = InPoolGuard;
-    type Said = AnswerHead;
+    type HeadInfo = AnswerHead;
 
-    fn last_lines(&self, _: &Job<InPoolGuard>, left_us: Micros, out: &mut Vec<u8>) {
+    fn attempt_headers(&self, _: &Job<InPoolGuard>, left_us: Micros, out: &mut Vec<u8>) {
         out.extend_from_slice(format!("Request-Timeout: {left_us}u\r\n").as_bytes());
     }
 
-    fn heard(&self, _: &Job<InPoolGuard>, head: &http::Response) -> Heard<AnswerHead> {
+    fn response_head(&self, _: &Job<InPoolGuard>, head: &http::Response) -> ResponseMatch<AnswerHead> {
         let text = |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok());
         let number = |name| text(name).and_then(figure);
         let mut passed_on = Vec::new();
@@ -70,7 +70,7 @@
                 &mut passed_on,
             );
         }
-        Heard::Mine(AnswerHead {
+        ResponseMatch::Expected(AnswerHead {
             never_ran: text("Not-Started").is_some_and(|v| v.trim() == "1"),
             used: number("X-Meter").map(|percent| percent / 100.0),
             units: number("X-Settled"),
@@ -84,17 +84,17 @@
             Ok(served) => {
                 let outcome = match served.status {
                     200 => Outcome::Ok,
-                    503 | 504 if served.said.never_ran => Outcome::Full,
+                    503 | 504 if served.head_info.never_ran => Outcome::Full,
                     // Another server would reject it too, and it says nothing about the health of this one.
                     400..500 => Outcome::Rejected,
                     _ => Outcome::Error,
                 };
                 let answer = match outcome {
-                    Outcome::Ok => Some(Answer::new(200, served.said.passed_on, served.body)),
+                    Outcome::Ok => Some(Answer::new(200, served.head_info.passed_on, served.body)),
                     Outcome::Rejected => Some(Answer::text(served.status, "")),
                     _ => None,
                 };
-                let (used, units) = (served.said.used, served.said.units);
+                let (used, units) = (served.head_info.used, served.head_info.units);
                 AttemptEnd { id, attempt, outcome, used, units, answer, error: None }
             }
             Err(error) => {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,6 @@
 //! The network layer of a program between clients and servers: listeners and their client connections
 //! (`listener`), pools of connections to servers (`pool`), and the parts that both are built from. It makes no
-//! decisions: the program implements `listener::Desk` and `pool::Wire` to interpret messages and to answer them.
+//! decisions: the program implements `listener::Handler` and `pool::Wire` to interpret messages and to answer them.
 //!
 //! Everything here runs on one thread of coroutines; any thread may post messages to its actors.
 
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,9 +1,9 @@
-//! A server: an actor for its address, which owns its idle connections and opens new ones, and a coroutine
-//! for each connection, which carries one attempt at a time. What becomes of an attempt is told to the wire
-//! once.
+//! Pools of connections to servers. Each server has an actor that owns its idle connections and opens new ones, and
+//! each connection has a coroutine that carries one attempt at a time. The outcome of an attempt is reported to the
+//! [`Wire`] once.
 //!
-//! An attempt is never sent again from here. Only one of which no byte was written, on a connection that had
-//! died while idle, goes to another connection: no server can have seen any of it.
+//! The pool does not retry. Only an attempt of which no byte was written, on a connection that had died while idle, moves
+//! to another connection: the server cannot have seen any of it.
 
 mod connection;
 pub mod exchange;
@@ -21,96 +21,93 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What is spoken with servers: writes the last lines of requests, reads the heads of answers, and is told
-/// what became of attempts. One for all servers that are spoken to alike. All calls come on the coroutines'
-/// thread.
+/// The program's part of the protocol with servers: it writes the headers of each attempt, reads the heads of answers,
+/// and gets the outcomes of attempts. One instance can serve all servers of a kind. All calls are made on the
+/// coroutines' thread.
 pub trait Wire: Send + Sync + Sized + 'static {
-    /// What an attempt carries along for this wire.
+    /// Data that the program attaches to an attempt.
     type Note: Send + 'static;
-    /// What is read out of an answer's head.
-    type Said: Send + 'static;
+    /// What the program reads from the head of an answer.
+    type HeadInfo: Send + 'static;
 
-    /// Whole lines, "Name: value\r\n", that end the head of this attempt; framing is not theirs. `left_us`,
-    /// one at the least, is what is left of its time as it is written.
-    fn last_lines(&self, job: &Job<Self::Note>, left_us: Micros, out: &mut Vec<u8>);
+    /// Writes the headers of this attempt, as complete lines "Name: value\r\n" without framing headers; they follow
+    /// those of the request. `left_us`, at least 1, is the time left for the attempt when it is written.
+    fn attempt_headers(&self, job: &Job<Self::Note>, left_us: Micros, out: &mut Vec<u8>);
 
-    /// An answer's head is whole; interim ones (1xx) are not shown.
-    fn heard(&self, job: &Job<Self::Note>, head: &http::Response) -> Heard<Self::Said>;
+    /// Called with the complete head of each answer, except interim ones (1xx).
+    fn response_head(&self, job: &Job<Self::Note>, head: &http::Response) -> ResponseMatch<Self::HeadInfo>;
 
-    /// An attempt has ended; told once, and not of one that was given up.
+    /// Called once when an attempt has ended, unless it was given up.
     fn ended(&self, ended: Ended<Self>);
 
-    /// No descriptor is left: idle connections to servers are to give way.
+    /// No descriptor is left for a new connection; the program should close idle connections to servers.
     fn descriptors_exhausted(&self) {}
 }
 
-/// What an answer's head is to the attempt that waits.
-pub enum Heard<Said> {
-    /// Its answer.
-    Mine(Said),
-    /// A further answer to an earlier request: it is read and dropped, the attempt's own is awaited behind
-    /// it, and then the connection ends.
+/// Whether an answer belongs to the attempt under way.
+pub enum ResponseMatch<HeadInfo> {
+    /// It is the answer to this attempt.
+    Expected(HeadInfo),
+    /// It is another answer to an earlier request. It is read and dropped, the answer to this attempt is awaited after
+    /// it, and then the connection is closed.
     Surplus,
 }
 
-/// A request as it goes to servers, but for the lines of the one attempt; shared by all of them and never
-/// copied.
-pub struct Passage {
-    /// Request line and headers, without framing and without the blank line that ends them.
+/// A request as it is sent to servers, without the headers of the single attempt. Shared by all attempts; a large body
+/// is not copied.
+pub struct ForwardedRequest {
+    /// Request line and headers, without framing headers and the final blank line.
     pub head: Vec<u8>,
     pub body: BufferedBody,
 }
 
-/// One attempt.
+/// One attempt of a request.
 pub struct Job<Note> {
     pub id: u64,
     pub attempt: u32,
-    pub passage: Arc<Passage>,
-    /// An earlier attempt of this request went to this server. It goes over a connection that has carried
-    /// nothing yet: on one that carried the earlier attempt, a second answer to that one could not be told
-    /// from the answer to this one.
-    pub again: bool,
-    /// When nobody waits any more.
+    pub request: Arc<ForwardedRequest>,
+    /// An earlier attempt of this request went to this server. This one gets a new connection: on the connection that
+    /// carried the earlier attempt, a second answer to that attempt could not be told from the answer to this one.
+    pub same_server_retry: bool,
+    /// The deadline, after which the answer is of no use.
     pub until: Micros,
     pub note: Note,
 }
 
-/// What became of an attempt.
+/// The outcome of an attempt.
 pub struct Ended<W: Wire> {
     pub id: u64,
     pub attempt: u32,
     pub note: W::Note,
-    /// When its connection began to write it; 0 if none did.
+    /// When a connection began to write it; 0 if none did.
     pub begun_at: Micros,
-    pub outcome: Result<Served<W::Said>, AttemptError>,
+    pub outcome: Result<Served<W::HeadInfo>, AttemptError>,
 }
 
-/// A whole answer.
-pub struct Served<Said> {
+/// A complete answer.
+pub struct Served<HeadInfo> {
     pub status: u16,
-    pub said: Said,
+    pub head_info: HeadInfo,
     pub body: Vec<u8>,
 }
 
-/// Of one server's connections.
+/// Settings of the connections to one server.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// For a connection to come up.
+    /// Time for a connection to be established.
     pub dial_us: Micros,
-    /// For an answer that has begun to be whole, or to bring its next 64 KB.
+    /// Time for an answer that has begun to be complete, or to bring its next 64 KB.
     pub answer_us: Micros,
-    /// A connection idle for longer is not used again, where the server names no time (`Keep-Alive:
-    /// timeout=N`).
+    /// A connection idle for longer is not reused, unless the server names its own time (`Keep-Alive: timeout=N`).
     pub idle_us: Micros,
-    /// Connections at the most.
-    pub most: usize,
-    /// Sent, and not acknowledged for so long, the connection has failed (`TCP_USER_TIMEOUT`).
-    pub silence: Option<Duration>,
-    /// Of an answer.
+    pub max_connections: usize,
+    /// The connection fails if sent data stays unacknowledged for so long (`TCP_USER_TIMEOUT`).
+    pub tcp_user_timeout: Option<Duration>,
+    /// Size limits of an answer.
     pub bounds: Bounds,
 }
 
-/// A server, for those who send to it. Dropping it does not end the server's actor: `gone` does.
+/// A handle of a server's actor. Dropping it does not end the actor; `remove` does.
 pub struct Peer<W: Wire>(Sender<ToServer<W>>);
 
 impl<W: Wire> Clone for Peer<W> {
@@ -120,50 +117,51 @@
 }
 
 impl<W: Wire> Peer<W> {
-    /// Starts the actor of a server; it dials once there is something to send.
-    pub fn start(addr: SocketAddr, room: Arc<Resources>, wire: Arc<W>, settings: Settings) -> Peer<W> {
-        let (me, inbox) = channel();
-        let server = Server::new(addr, room, wire, settings, me.clone());
+    /// Starts the actor of a server. It opens connections only when there is something to send.
+    pub fn start(addr: SocketAddr, resources: Arc<Resources>, wire: Arc<W>, settings: Settings) -> Peer<W> {
+        let (sender, inbox) = channel();
+        let server = Server::new(addr, resources, wire, settings, sender.clone());
         may::go!(move || server.run(&inbox));
-        Peer(me)
+        Peer(sender)
     }
 
-    /// False where the server's actor has ended: nothing is told of the attempt then.
+    /// Sends an attempt. Returns false if the server's actor has ended; no outcome is reported then.
     pub fn send(&self, job: Job<W::Note>) -> bool {
         self.0.send(ToServer::Send(job)).is_ok()
     }
 
-    /// Closes the attempt's connection; nothing more is told of it. `late`: its time was up, and this is when
-    /// it was sent.
+    /// Closes the attempt's connection; its outcome is not reported. `late`: set if the attempt timed out, to the time
+    /// when it was sent.
     pub fn give_up(&self, id: u64, attempt: u32, late: Option<Micros>) {
-        self.tell(ToServer::GiveUp { id, attempt, late });
+        self.post(ToServer::GiveUp { id, attempt, late });
     }
 
-    /// Where it is from now on, and whether it takes requests.
-    pub fn listed(&self, addr: SocketAddr, up: bool) {
-        self.tell(ToServer::Listed { addr, up });
+    /// Sets the server's address, and whether it takes requests (`up`).
+    pub fn update(&self, addr: SocketAddr, up: bool) {
+        self.post(ToServer::Update { addr, up });
     }
 
-    /// Off the list for good: its actor ends with its last attempt, unless it is listed again before.
-    pub fn gone(&self) {
-        self.tell(ToServer::Gone);
+    /// Ends the actor once its last connection has closed, unless `update` is called before.
+    pub fn remove(&self) {
+        self.post(ToServer::Remove);
     }
 
     pub fn close_idle(&self) {
-        self.tell(ToServer::CloseIdle);
+        self.post(ToServer::CloseIdle);
     }
 
-    /// For connections opened from now on; the most and the idle time hold at once.
+    /// Changes the settings. The maximum number of connections and the idle time apply at once, the others to
+    /// connections opened from now on.
     pub fn set(&self, settings: Settings) {
-        self.tell(ToServer::Set(settings));
+        self.post(ToServer::Set(settings));
     }
 
-    fn tell(&self, told: ToServer<W>) {
-        let _ = self.0.send(told); // its actor may have ended
+    fn post(&self, message: ToServer<W>) {
+        let _ = self.0.send(message); // its actor may have ended
     }
 }
 
-/// What a server's actor is told.
+/// A message to a server's actor.
 enum ToServer<W: Wire> {
     Send(Job<W::Note>),
     GiveUp {
@@ -171,22 +169,23 @@
         attempt: u32,
         late: Option<Micros>,
     },
-    Listed {
+    Update {
         addr: SocketAddr,
         up: bool,
     },
-    Gone,
+    Remove,
     CloseIdle,
     Set(Settings),
-    /// By one of its connections: ready for the next attempt; the server keeps it open for so long.
+    /// From a connection: it is ready for the next attempt, and the server keeps it open for `keep_us`.
     Free {
         conn: u64,
         keep_us: Option<Micros>,
     },
+    /// From a connection: it is established.
     Connected {
         conn: u64,
     },
-    /// By one of its connections: it has ended; of this attempt nothing was written.
+    /// From a connection: it has ended; nothing was written of the attempt `unsent`.
     Ended {
         conn: u64,
         unsent: Option<Job<W::Note>>,
@@ -197,15 +196,18 @@
     Sweep,
 }
 
+/// A message to the coroutine of a connection.
 enum ToConn<Note> {
     Carry(Job<Note>),
-    /// End; if an attempt is still to be told of, this is why it failed.
-    End(Option<Cause>),
+    /// Close. With a cause, an attempt that is under way is reported as failed.
+    Close(Option<Cause>),
 }
 
+/// A connection, as its server's actor knows it.
 struct Conn<Note> {
     inbox: Arc<Mailbox<ToConn<Note>>>,
     connected: bool,
+    /// The request id and attempt number that it carries.
     job: Option<(u64, u32)>,
 }
 
@@ -214,198 +216,203 @@
 struct Idle {
     conn: u64,
     since: Micros,
-    /// Its server keeps it open up to then.
+    /// When it is no longer to be used, if the server names the time for which it keeps idle connections.
     until: Option<Micros>,
 }
 
+/// The actor of a server.
 struct Server<W: Wire> {
     addr: SocketAddr,
+    /// It takes requests.
     up: bool,
-    gone: bool,
-    room: Arc<Resources>,
+    removed: bool,
+    resources: Arc<Resources>,
     wire: Arc<W>,
     settings: Settings,
-    me: Sender<ToServer<W>>,
+    sender: Sender<ToServer<W>>,
     conns: HashMap<u64, Conn<W::Note>>,
-    /// The newest last.
+    /// Ordered by the time when they became idle, the latest last.
     idle: VecDeque<Idle>,
+    /// The connection that carries each attempt.
     busy: HashMap<(u64, u32), u64>,
-    count: u64,
-    sweeping: bool,
-    /// When it last answered, or took a connection.
-    heard_at: Micros,
+    /// The number of the connection opened last.
+    last_conn: u64,
+    sweep_scheduled: bool,
+    /// When the server last answered or accepted a connection.
+    last_heard_at: Micros,
 }
 
-/// How long a connection rests after an answer, while others are idle.
+/// A connection that became idle less than this ago is used only if no other is idle.
 const REST_US: Micros = 2_000;
 
-/// A connection is not used in the last part of the time that its server keeps it: an attempt could cross its
-/// end.
+/// A connection is not used in the last part of the time that its server keeps it open: the attempt could collide with
+/// the server's close.
 const KEEP_MARGIN_US: Micros = 1_000_000;
 
 impl<W: Wire> Server<W> {
     fn new(
         addr: SocketAddr,
-        room: Arc<Resources>,
+        resources: Arc<Resources>,
         wire: Arc<W>,
         settings: Settings,
-        me: Sender<ToServer<W>>,
+        sender: Sender<ToServer<W>>,
     ) -> Self {
         Server {
             addr,
             up: true,
-            gone: false,
-            room,
+            removed: false,
+            resources,
             wire,
             settings,
-            me,
+            sender,
             conns: HashMap::new(),
             idle: VecDeque::new(),
             busy: HashMap::new(),
-            count: 0,
-            sweeping: false,
-            heard_at: 0,
+            last_conn: 0,
+            sweep_scheduled: false,
+            last_heard_at: 0,
         }
     }
 
     fn run(mut self, inbox: &Receiver<ToServer<W>>) {
-        while !(self.gone && self.conns.is_empty()) {
-            let Ok(told) = inbox.recv() else { return };
-            self.take(told);
+        while !(self.removed && self.conns.is_empty()) {
+            let Ok(message) = inbox.recv() else { return };
+            self.handle(message);
         }
     }
 
-    fn take(&mut self, told: ToServer<W>) {
-        match told {
+    fn handle(&mut self, message: ToServer<W>) {
+        match message {
             ToServer::Send(job) => self.send(job),
             ToServer::GiveUp { id, attempt, late } => {
                 if let Some(conn) = self.busy.remove(&(id, attempt)) {
-                    self.end(conn, None);
+                    self.close(conn, None);
                 }
-                // Not a word since that attempt was sent: its machine may be gone, which open connections
-                // never tell. A new connection does, soon, and proves that the attempt never ran. Should it
-                // only be slow, a few handshakes are lost.
-                if late.is_some_and(|sent_at| self.heard_at < sent_at) {
+                // Nothing has come from the server since that attempt was sent: its machine may be gone, which open
+                // connections do not show. A new connection shows it soon, and if it fails, proves that its attempt
+                // never ran. If the server is only slow, this costs a few handshakes.
+                if late.is_some_and(|sent_at| self.last_heard_at < sent_at) {
                     self.close_idle();
                 }
             }
-            ToServer::Listed { addr, up } => {
+            ToServer::Update { addr, up } => {
                 if addr != self.addr || !up {
                     self.close_idle();
                 }
-                (self.addr, self.up, self.gone) = (addr, up, false);
-                self.end_dials();
+                (self.addr, self.up, self.removed) = (addr, up, false);
+                self.fail_dialing();
             }
-            ToServer::Gone => {
-                (self.up, self.gone) = (false, true);
+            ToServer::Remove => {
+                (self.up, self.removed) = (false, true);
                 self.close_idle();
-                self.end_dials();
+                self.fail_dialing();
             }
             ToServer::CloseIdle => self.close_idle(),
             ToServer::Set(settings) => {
                 self.settings = settings;
-                self.retire();
+                self.close_expired();
             }
             ToServer::Free { conn, keep_us } => {
                 let Some(c) = self.conns.get_mut(&conn) else { return };
                 if let Some(job) = c.job.take() {
                     self.busy.remove(&job);
                 }
-                self.heard_at = self.room.clock.now();
+                self.last_heard_at = self.resources.clock.now();
                 if !self.up {
-                    return self.end(conn, None);
+                    return self.close(conn, None);
                 }
-                let since = self.heard_at;
+                let since = self.last_heard_at;
                 let until = keep_us.map(|keep| since.saturating_add(keep - KEEP_MARGIN_US.min(keep / 2)));
                 self.idle.push_back(Idle { conn, since, until });
-                self.sweep_later();
+                self.schedule_sweep();
             }
             ToServer::Connected { conn } => {
                 if let Some(c) = self.conns.get_mut(&conn) {
                     c.connected = true;
-                    self.heard_at = self.room.clock.now();
+                    self.last_heard_at = self.resources.clock.now();
                 }
             }
             ToServer::Ended { conn, unsent } => {
                 let Some(c) = self.conns.remove(&conn) else { return };
-                // It may have ended while an attempt was on its way to it: that one was never touched either.
-                // One that was given up meanwhile must not go out any more.
-                let handed = std::iter::from_fn(|| c.inbox.pop()).find_map(|told| match told {
+                // It may have ended with an attempt still in its mailbox, which was not sent either. An attempt that
+                // was given up meanwhile must not be sent any more.
+                let in_mailbox = std::iter::from_fn(|| c.inbox.pop()).find_map(|message| match message {
                     ToConn::Carry(job) => Some(job),
-                    ToConn::End(_) => None,
+                    ToConn::Close(_) => None,
                 });
                 let wanted = c.job.is_some_and(|key| self.busy.remove(&key).is_some());
-                if let Some(job) = unsent.or(handed).filter(|_| wanted) {
+                if let Some(job) = unsent.or(in_mailbox).filter(|_| wanted) {
                     self.send(job);
                 }
             }
             ToServer::DialTimeout { conn } => {
                 if self.conns.get(&conn).is_some_and(|c| !c.connected) {
-                    self.end(conn, Some(Cause::DialTimeout));
+                    self.close(conn, Some(Cause::DialTimeout));
                 }
             }
             ToServer::Sweep => {
-                self.sweeping = false;
-                self.retire();
-                self.sweep_later();
+                self.sweep_scheduled = false;
+                self.close_expired();
+                self.schedule_sweep();
             }
         }
     }
 
-    /// An attempt that waits for a connection must not be sent late to a server that drains.
-    fn end_dials(&mut self) {
+    /// If the server takes no requests, ends the connections that are not established: an attempt must not be sent late
+    /// to a server that drains.
+    fn fail_dialing(&mut self) {
         if self.up {
             return;
         }
         let dialing: Vec<u64> = self.conns.iter().filter(|(_, c)| !c.connected).map(|(n, _)| *n).collect();
         for conn in dialing {
-            self.end(conn, Some(Cause::ServerGone));
+            self.close(conn, Some(Cause::ServerGone));
         }
     }
 
-    fn end(&mut self, conn: u64, why: Option<Cause>) {
+    fn close(&mut self, conn: u64, cause: Option<Cause>) {
         if let Some(c) = self.conns.get(&conn) {
-            c.inbox.post(ToConn::End(why));
+            c.inbox.post(ToConn::Close(cause));
         }
     }
 
     fn close_idle(&mut self) {
         for idle in std::mem::take(&mut self.idle) {
-            self.end(idle.conn, None);
+            self.close(idle.conn, None);
         }
     }
 
-    /// A connection that the server might close any moment is worth less than a new one: an attempt written
-    /// to it would count as one that may have run.
-    fn retire(&mut self) {
-        let (now, idle_us) = (self.room.clock.now(), self.settings.idle_us);
-        let (stay, old) = std::mem::take(&mut self.idle)
+    /// Closes connections that have been idle too long. The server might close them at any moment, and an attempt written
+    /// to such a connection would count as one that may have run, so a new connection is better.
+    fn close_expired(&mut self) {
+        let (now, idle_us) = (self.resources.clock.now(), self.settings.idle_us);
+        let (kept, expired) = std::mem::take(&mut self.idle)
             .into_iter()
             .partition(|i| i.until.unwrap_or(i.since.saturating_add(idle_us)) >= now);
-        self.idle = stay;
-        let old: VecDeque<Idle> = old;
-        for idle in old {
-            self.end(idle.conn, None);
+        self.idle = kept;
+        let expired: VecDeque<Idle> = expired;
+        for idle in expired {
+            self.close(idle.conn, None);
         }
     }
 
-    fn sweep_later(&mut self) {
-        if !self.sweeping && !self.idle.is_empty() {
-            self.sweeping = true;
-            let me = self.me.clone();
-            self.room.alarms.after(self.settings.idle_us / 3 + 1, move || {
-                let _ = me.send(ToServer::Sweep);
+    fn schedule_sweep(&mut self) {
+        if !self.sweep_scheduled && !self.idle.is_empty() {
+            self.sweep_scheduled = true;
+            let sender = self.sender.clone();
+            self.resources.alarms.after(self.settings.idle_us / 3 + 1, move || {
+                let _ = sender.send(ToServer::Sweep);
             });
         }
     }
 
     fn send(&mut self, job: Job<W::Note>) {
         if !self.up {
-            return self.refuse(job, Cause::ServerGone);
+            return self.report_failure(job, Cause::ServerGone);
         }
-        self.retire();
-        while !job.again
-            && let Some(conn) = self.rested()
+        self.close_expired();
+        while !job.same_server_retry
+            && let Some(conn) = self.take_idle()
         {
             if let Some(c) = self.conns.get_mut(&conn) {
                 c.job = Some((job.id, job.attempt));
@@ -416,54 +423,54 @@
         self.dial(job);
     }
 
-    /// The newest idle connection, but one that has rested if there is any: bytes that a server sends unasked
-    /// right behind an answer are seen by then, and cannot be taken for the answer to what is written next.
-    fn rested(&mut self) -> Option<u64> {
-        let before = self.room.clock.now().saturating_sub(REST_US);
-        let place = self.idle.iter().rposition(|idle| idle.since <= before);
-        let place = place.or(self.idle.len().checked_sub(1))?;
-        self.idle.remove(place).map(|idle| idle.conn)
+    /// Takes an idle connection: the latest that has been idle for `REST_US`, or else the latest. Unrequested bytes that a
+    /// server sends right after an answer have come by then, and cannot be taken for the answer to the next attempt.
+    fn take_idle(&mut self) -> Option<u64> {
+        let before = self.resources.clock.now().saturating_sub(REST_US);
+        let position = self.idle.iter().rposition(|idle| idle.since <= before);
+        let position = position.or(self.idle.len().checked_sub(1))?;
+        self.idle.remove(position).map(|idle| idle.conn)
     }
 
-    fn refuse(&self, job: Job<W::Note>, cause: Cause) {
+    fn report_failure(&self, job: Job<W::Note>, cause: Cause) {
         let error = AttemptError { progress: Progress::Dialing, cause };
         self.wire.ended(Ended::failed(job, 0, error));
     }
 
     fn dial(&mut self, job: Job<W::Note>) {
-        if self.conns.len() >= self.settings.most {
-            return self.refuse(job, Cause::MostConnections);
+        if self.conns.len() >= self.settings.max_connections {
+            return self.report_failure(job, Cause::MostConnections);
         }
-        let Some(fd) = self.room.fds.take(ConnectionKind::Server) else {
+        let Some(fd) = self.resources.fds.take(ConnectionKind::Server) else {
             self.wire.descriptors_exhausted();
-            return self.refuse(job, Cause::NoDescriptor);
+            return self.report_failure(job, Cause::NoDescriptor);
         };
-        let io = match socket::connect(self.addr, self.settings.silence) {
+        let io = match socket::connect(self.addr, self.settings.tcp_user_timeout) {
             Ok(io) => io,
             Err(e) => {
-                // Also where the system gives fewer descriptors than the configuration says.
+                // The system may allow fewer descriptors than the configuration says.
                 if matches!(e.raw_os_error(), Some(EMFILE | ENFILE)) {
                     self.wire.descriptors_exhausted();
                 }
-                return self.refuse(job, Cause::Io(e));
+                return self.report_failure(job, Cause::Io(e));
             }
         };
-        self.count += 1;
-        let (conn, key) = (self.count, (job.id, job.attempt));
+        self.last_conn += 1;
+        let (conn, key) = (self.last_conn, (job.id, job.attempt));
         let inbox = Arc::new(Mailbox::new(io.waker()));
         self.conns.insert(conn, Conn { inbox: inbox.clone(), connected: false, job: Some(key) });
         self.busy.insert(key, conn);
-        let with = connection::With {
+        let context = connection::Context {
             number: conn,
-            room: self.room.clone(),
+            resources: self.resources.clone(),
             wire: self.wire.clone(),
             settings: self.settings.clone(),
-            server: self.me.clone(),
+            server: self.sender.clone(),
         };
-        connection::start(with, io, inbox, job, fd);
-        let me = self.me.clone();
-        self.room.alarms.after(self.settings.dial_us, move || {
-            let _ = me.send(ToServer::DialTimeout { conn });
+        connection::start(context, io, inbox, job, fd);
+        let sender = self.sender.clone();
+        self.resources.alarms.after(self.settings.dial_us, move || {
+            let _ = sender.send(ToServer::DialTimeout { conn });
         });
     }
 }
@@ -477,8 +484,8 @@
     }
 }
 
-/// A large body goes out from where it is, for all attempts.
-impl AsRef<[u8]> for Passage {
+/// The body, which is sent without being copied for each attempt.
+impl AsRef<[u8]> for ForwardedRequest {
     fn as_ref(&self) -> &[u8] {
         &self.body.bytes
     }
@@ -490,34 +497,37 @@
     use crate::clock::{Alarm, Alarms, Clock};
     use std::net::TcpListener;
 
-    struct Mute;
+    /// A wire that does nothing.
+    struct NoOpWire;
 
-    impl Wire for Mute {
+    impl Wire for NoOpWire {
         type Note = ();
-        type Said = ();
+        type HeadInfo = ();
 
-        fn last_lines(&self, _: &Job<()>, _: Micros, _: &mut Vec<u8>) {}
+        fn attempt_headers(&self, _: &Job<()>, _: Micros, _: &mut Vec<u8>) {}
 
-        fn heard(&self, _: &Job<()>, _: &http::Response) -> Heard<()> {
-            Heard::Mine(())
+        fn response_head(&self, _: &Job<()>, _: &http::Response) -> ResponseMatch<()> {
+            ResponseMatch::Expected(())
         }
 
-        fn ended(&self, _: Ended<Mute>) {}
+        fn ended(&self, _: Ended<NoOpWire>) {}
     }
 
-    /// A server's actor with one connection that has just ended, an attempt in its mailbox.
-    fn server(listener: &TcpListener) -> Server<Mute> {
+    /// A server's actor with one connection that has just ended with an attempt in its mailbox.
+    fn server(listener: &TcpListener) -> Server<NoOpWire> {
         let clock = Clock::start();
         let alarms = Alarms::start(clock).expect("a timer");
-        let room = Arc::new(Resources::new(1000, 64, clock, alarms, Box::new(|_| {})));
+        let resources = Arc::new(Resources::new(1000, 64, clock, alarms, Box::new(|_| {})));
         let inbox = Arc::new(Mailbox::new(Alarm::new(clock).expect("a timer").waker()));
-        let passage =
-            Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() });
+        let request = Arc::new(ForwardedRequest {
+            head: b"GET / HTTP/1.1\r\n".to_vec(),
+            body: BufferedBody::default(),
+        });
         inbox.post(ToConn::Carry(Job {
             id: 5,
             attempt: 0,
-            passage,
-            again: false,
+            request,
+            same_server_retry: false,
             until: clock.now() + 1_000_000,
             note: (),
         }));
@@ -525,24 +535,24 @@
             dial_us: 100_000,
             answer_us: 100_000,
             idle_us: 1_000_000,
-            most: 1000,
-            silence: None,
+            max_connections: 1000,
+            tcp_user_timeout: None,
             bounds: Bounds { head: 4096, body: 4096 },
         };
         let addr = listener.local_addr().expect("bound");
-        let mut server = Server::new(addr, room, Arc::new(Mute), settings, channel().0);
+        let mut server = Server::new(addr, resources, Arc::new(NoOpWire), settings, channel().0);
         server.conns.insert(1, Conn { inbox, connected: true, job: Some((5, 0)) });
         server.busy.insert((5, 0), 1);
-        server.count = 1;
+        server.last_conn = 1;
         server
     }
 
-    /// Else the attempt would be lost between the two, and its client wait to the end.
+    /// Otherwise the attempt would be lost, and its client would wait until its deadline.
     #[test]
     fn an_attempt_handed_to_a_connection_that_has_ended_goes_to_another() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
-        server.take(ToServer::Ended { conn: 1, unsent: None });
+        server.handle(ToServer::Ended { conn: 1, unsent: None });
         assert_eq!(server.busy, HashMap::from([((5, 0), 2)]));
         assert!(server.conns.contains_key(&2) && !server.conns.contains_key(&1));
         assert!(listener.accept().is_ok());
@@ -552,36 +562,45 @@
     fn a_connection_that_has_rested_goes_before_one_that_was_just_used() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
-        let now = server.room.clock.now();
+        let now = server.resources.clock.now();
         let idle = |(conn, since)| Idle { conn, since, until: None };
         server.idle = [(1, now - 50_000), (2, now - 20_000), (3, now), (4, now)].map(idle).into();
-        let order: Vec<u64> = std::iter::from_fn(|| server.rested()).collect();
+        let order: Vec<u64> = std::iter::from_fn(|| server.take_idle()).collect();
         assert_eq!(order, [2, 1, 4, 3]);
     }
 
-    /// On the connection that carried the first, a second answer to it could not be told from this one's.
+    /// On the connection that carried the first attempt, a second answer to it could not be told from this one's answer.
     #[test]
     fn a_second_attempt_of_a_request_gets_a_connection_of_its_own() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
-        server.take(ToServer::Free { conn: 1, keep_us: None });
-        let passage =
-            Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() });
-        let until = server.room.clock.now() + 1_000_000;
-        for (id, again, conn) in [(5, true, 2), (6, false, 1)] {
-            let passage = passage.clone();
-            server.take(ToServer::Send(Job { id, attempt: 1, passage, again, until, note: () }));
+        server.handle(ToServer::Free { conn: 1, keep_us: None });
+        let request = Arc::new(ForwardedRequest {
+            head: b"GET / HTTP/1.1\r\n".to_vec(),
+            body: BufferedBody::default(),
+        });
+        let until = server.resources.clock.now() + 1_000_000;
+        for (id, same_server_retry, conn) in [(5, true, 2), (6, false, 1)] {
+            let request = request.clone();
+            server.handle(ToServer::Send(Job {
+                id,
+                attempt: 1,
+                request,
+                same_server_retry,
+                until,
+                note: (),
+            }));
             assert_eq!(server.busy[&(id, 1)], conn);
         }
     }
 
-    /// Its request has had its answer: sent now it would run for nobody, or twice.
+    /// Its request is already answered: if it were sent now, it would run for nobody, or twice.
     #[test]
     fn an_attempt_given_up_meanwhile_is_not_sent() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
-        server.take(ToServer::GiveUp { id: 5, attempt: 0, late: None });
-        server.take(ToServer::Ended { conn: 1, unsent: None });
+        server.handle(ToServer::GiveUp { id: 5, attempt: 0, late: None });
+        server.handle(ToServer::Ended { conn: 1, unsent: None });
         assert!(server.busy.is_empty() && server.conns.is_empty());
     }
 
@@ -590,12 +609,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
         server.settings.idle_us = 60_000_000;
-        let now = server.room.clock.now();
+        let now = server.resources.clock.now();
         let idle = |(conn, until)| Idle { conn, since: now - 30_000_000, until };
         server.idle = [(1, None), (2, Some(now - 1)), (3, Some(now + 9_000_000))].map(idle).into();
-        server.retire();
+        server.close_expired();
         assert_eq!(server.idle.iter().map(|i| i.conn).collect::<Vec<u64>>(), [1, 3]);
-        server.take(ToServer::Set(Settings { idle_us: 1_000_000, ..server.settings.clone() }));
+        server.handle(ToServer::Set(Settings { idle_us: 1_000_000, ..server.settings.clone() }));
         assert_eq!(server.idle.iter().map(|i| i.conn).collect::<Vec<u64>>(), [3], "what it says goes first");
     }
 
@@ -603,11 +622,20 @@
     fn no_more_connections_are_opened_than_there_may_be() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut server = server(&listener);
-        server.settings.most = 1;
-        let passage =
-            Arc::new(Passage { head: b"GET / HTTP/1.1\r\n".to_vec(), body: BufferedBody::default() });
-        let until = server.room.clock.now() + 1_000_000;
-        server.take(ToServer::Send(Job { id: 6, attempt: 0, passage, again: false, until, note: () }));
+        server.settings.max_connections = 1;
+        let request = Arc::new(ForwardedRequest {
+            head: b"GET / HTTP/1.1\r\n".to_vec(),
+            body: BufferedBody::default(),
+        });
+        let until = server.resources.clock.now() + 1_000_000;
+        server.handle(ToServer::Send(Job {
+            id: 6,
+            attempt: 0,
+            request,
+            same_server_retry: false,
+            until,
+            note: (),
+        }));
         assert!(!server.busy.contains_key(&(6, 0)) && server.conns.len() == 1);
     }
 }
--- a/crates/net/src/pool/connection.rs
+++ b/crates/net/src/pool/connection.rs
@@ -1,6 +1,6 @@
-//! One connection to a server: carries one attempt at a time.
+//! The coroutine of one connection to a server, which carries one attempt at a time.
 
-use super::exchange::{Exchange, Left, Then};
+use super::exchange::{AfterFailure, Exchange, ReadResult};
 use super::{Job, Settings, ToConn, ToServer, Wire};
 use crate::errors::Cause;
 use crate::limits::Fd;
@@ -12,58 +12,58 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-/// What a connection has of its server's actor.
-pub(super) struct With<W: Wire> {
+/// What a connection gets from its server's actor.
+pub(super) struct Context<W: Wire> {
     pub number: u64,
-    pub room: Arc<Resources>,
+    pub resources: Arc<Resources>,
     pub wire: Arc<W>,
     pub settings: Settings,
     pub server: Sender<ToServer<W>>,
 }
 
-/// Starts the actor of a connection that is being opened for `job`.
+/// Starts the coroutine of a connection that is being opened for `job`.
 pub(super) fn start<W: Wire>(
-    with: With<W>,
+    context: Context<W>,
     io: Watched<TcpStream>,
     inbox: Arc<Mailbox<ToConn<W::Note>>>,
     job: Job<W::Note>,
     fd: Fd,
 ) {
-    let exchange = Exchange::new(job, with.settings.bounds, with.settings.answer_us);
-    let mut link = Link { with, io, inbox, exchange, _fd: fd };
+    let exchange = Exchange::new(job, context.settings.bounds, context.settings.answer_us);
+    let mut connection = Connection { context, io, inbox, exchange, _fd: fd };
     may::go!(move || {
-        // A panic ends this connection alone; its attempt still gets its outcome.
-        let end = catch_unwind(AssertUnwindSafe(|| link.run()));
-        let unsent = end.unwrap_or_else(|_| link.fail(Cause::Panic));
-        let (number, server) = (link.with.number, link.with.server.clone());
-        drop(link);
+        // A panic ends only this connection; the outcome of its attempt is still reported.
+        let result = catch_unwind(AssertUnwindSafe(|| connection.run()));
+        let unsent = result.unwrap_or_else(|_| connection.fail(Cause::Panic));
+        let (number, server) = (connection.context.number, connection.context.server.clone());
+        drop(connection);
         let _ = server.send(ToServer::Ended { conn: number, unsent });
     });
 }
 
-struct Link<W: Wire> {
-    with: With<W>,
+struct Connection<W: Wire> {
+    context: Context<W>,
     io: Watched<TcpStream>,
     inbox: Arc<Mailbox<ToConn<W::Note>>>,
     exchange: Exchange<W>,
     _fd: Fd,
 }
 
-impl<W: Wire> Link<W> {
-    /// Carries attempts until the connection ends; gives back one of which nothing was written.
+impl<W: Wire> Connection<W> {
+    /// Carries attempts until the connection ends. Returns an attempt of which nothing was written, if there is one.
     fn run(&mut self) -> Option<Job<W::Note>> {
-        let mut seen = 0;
+        let mut events = 0;
         loop {
-            while let Some(told) = self.inbox.pop() {
-                match told {
+            while let Some(message) = self.inbox.pop() {
+                match message {
                     ToConn::Carry(job) => {
-                        let (wire, now) = (&*self.with.wire, self.with.room.clock.now());
+                        let (wire, now) = (&*self.context.wire, self.context.resources.clock.now());
                         if let Err(job) = self.exchange.carry(job, wire, now, &mut self.io.inner()) {
                             return Some(job);
                         }
                     }
-                    ToConn::End(why) => {
-                        if let Some(cause) = why {
+                    ToConn::Close(cause) => {
+                        if let Some(cause) = cause {
                             return self.fail(cause);
                         }
                         self.exchange.give_up();
@@ -71,36 +71,36 @@
                     }
                 }
             }
-            match self.step(seen) {
-                Ok(false) => seen = self.io.wait(),
+            match self.step(events) {
+                Ok(false) => events = self.io.wait(),
                 Ok(true) => return None,
                 Err(cause) => return self.fail(cause),
             }
         }
     }
 
-    /// What the events call for; true when the connection is of no more use and nothing is owed for it.
-    fn step(&mut self, seen: usize) -> Result<bool, Cause> {
-        let (room, wire) = (&self.with.room, &*self.with.wire);
+    /// Handles the given events. Returns true if the connection cannot be used any more and no failure is to be reported.
+    fn step(&mut self, events: usize) -> Result<bool, Cause> {
+        let (resources, wire) = (&self.context.resources, &*self.context.wire);
         if !self.exchange.is_connected() {
             if let Some(e) = self.io.inner().take_error().map_err(Cause::Io)? {
                 return Err(Cause::Io(e));
             }
-            if seen & events::WRITABLE == 0 || seen & events::HANG_UP != 0 {
-                return if seen & events::ENDED != 0 { Err(Cause::Ended) } else { Ok(false) };
+            if events & events::WRITABLE == 0 || events & events::HANG_UP != 0 {
+                return if events & events::ENDED != 0 { Err(Cause::Ended) } else { Ok(false) };
             }
-            let _ = self.with.server.send(ToServer::Connected { conn: self.with.number });
-            self.exchange.connected(wire, room.clock.now());
+            let _ = self.context.server.send(ToServer::Connected { conn: self.context.number });
+            self.exchange.connected(wire, resources.clock.now());
         }
-        if seen & (events::READABLE | events::ENDED) != 0 {
-            match self.exchange.read(wire, &mut self.io.inner(), seen & events::ENDED != 0)? {
-                Then::Wait => {}
-                Then::Free { ended, keep_us } => {
-                    // Before the answer is told: what is sent as soon as it is known finds this connection free.
-                    let _ = self.with.server.send(ToServer::Free { conn: self.with.number, keep_us });
+        if events & (events::READABLE | events::ENDED) != 0 {
+            match self.exchange.read(wire, &mut self.io.inner(), events & events::ENDED != 0)? {
+                ReadResult::Wait => {}
+                ReadResult::Reusable { ended, keep_us } => {
+                    // Before the outcome is reported, so that an attempt sent right after it finds this connection idle.
+                    let _ = self.context.server.send(ToServer::Free { conn: self.context.number, keep_us });
                     wire.ended(ended);
                 }
-                Then::Over { ended } => {
+                ReadResult::Finished { ended } => {
                     if let Some(ended) = ended {
                         wire.ended(ended);
                     }
@@ -109,20 +109,20 @@
             }
         }
         self.exchange.write(self.io.inner())?;
-        if let Some(wait) = self.exchange.hurry(room.clock.now())? {
+        if let Some(wait) = self.exchange.check_timeout(resources.clock.now())? {
             let inbox = self.inbox.clone();
-            room.alarms.after(wait, move || inbox.wake());
+            resources.alarms.after(wait, move || inbox.wake());
         }
         Ok(false)
     }
 
-    /// Tells of an attempt that has failed; gives back one of which nothing was written.
+    /// Reports a failed attempt, or returns it if nothing was written of it and it may go to another connection.
     fn fail(&mut self, cause: Cause) -> Option<Job<W::Note>> {
         match self.exchange.fail(cause) {
-            Left::Nothing => None,
-            Left::Unsent(job) => Some(job),
-            Left::Failed(ended) => {
-                self.with.wire.ended(ended);
+            AfterFailure::Nothing => None,
+            AfterFailure::Unsent(job) => Some(job),
+            AfterFailure::Failed(ended) => {
+                self.context.wire.ended(ended);
                 None
             }
         }
--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -7,8 +7,8 @@
 use net::http::{self, Bad, Body, Bounds, NO_HEADERS};
 use net::limits::BufferedBody;
 use net::listener::{self, Answer, ClientTimeouts, Handler, Listener, Reply};
-use net::pool::exchange::{Exchange, Left, Then};
-use net::pool::{Ended, Heard, Job, Passage, Peer, Served, Settings, Wire};
+use net::pool::exchange::{AfterFailure, Exchange, ReadResult};
+use net::pool::{Ended, ForwardedRequest, Job, Peer, ResponseMatch, Served, Settings, Wire};
 use net::resources::Resources;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -41,12 +41,16 @@
 
 impl Wire for ById {
     type Note = ();
-    type Said = ();
+    type HeadInfo = ();
 
-    fn last_lines(&self, _: &Job<()>, _: Micros, _: &mut Vec<u8>) {}
+    fn attempt_headers(&self, _: &Job<()>, _: Micros, _: &mut Vec<u8>) {}
 
-    fn heard(&self, _: &Job<()>, head: &http::Response) -> Heard<()> {
-        if http::header(head.headers, "X-Id") == Some(b"1") { Heard::Mine(()) } else { Heard::Surplus }
+    fn response_head(&self, _: &Job<()>, head: &http::Response) -> ResponseMatch<()> {
+        if http::header(head.headers, "X-Id") == Some(b"1") {
+            ResponseMatch::Expected(())
+        } else {
+            ResponseMatch::Surplus
+        }
     }
 
     fn ended(&self, _: Ended<ById>) {}
@@ -80,8 +84,8 @@
 /// What becomes of an attempt to which these parts come one after the other, and then that end.
 fn answered(method: &str, parts: &[&[u8]], end: End) -> String {
     let head = format!("{method} / HTTP/1.1\r\nHost: x\r\n").into_bytes();
-    let passage = Arc::new(Passage { head, body: BufferedBody::default() });
-    let job = Job { id: 1, attempt: 0, passage, again: false, until: 9_000_000, note: () };
+    let request = Arc::new(ForwardedRequest { head, body: BufferedBody::default() });
+    let job = Job { id: 1, attempt: 0, request, same_server_retry: false, until: 9_000_000, note: () };
     let mut exchange = Exchange::new(job, BOUNDS, 1_000_000);
     exchange.connected(&ById, 1);
     exchange.write(io::sink()).expect("taken");
@@ -95,10 +99,10 @@
         }
         let mut come = Come { bytes: part, over, ended };
         match exchange.read(&ById, &mut come, ended || over.is_some()) {
-            Ok(Then::Wait) => {}
-            Ok(Then::Free { ended, .. }) => told = format!("{} free", whole(ended)),
-            Ok(Then::Over { ended: Some(ended) }) => return format!("{} over", whole(ended)),
-            Ok(Then::Over { ended: None }) => return told.replace("free", "over"),
+            Ok(ReadResult::Wait) => {}
+            Ok(ReadResult::Reusable { ended, .. }) => told = format!("{} free", whole(ended)),
+            Ok(ReadResult::Finished { ended: Some(ended) }) => return format!("{} over", whole(ended)),
+            Ok(ReadResult::Finished { ended: None }) => return told.replace("free", "over"),
             Err(cause) => return fails(&mut exchange, cause),
         }
     }
@@ -113,7 +117,7 @@
 
 /// Once the request is written a failure is never one of an attempt that has not run.
 fn fails(exchange: &mut Exchange<ById>, cause: Cause) -> String {
-    let Left::Failed(ended) = exchange.fail(cause) else { panic!("an attempt without an outcome") };
+    let AfterFailure::Failed(ended) = exchange.fail(cause) else { panic!("an attempt without an outcome") };
     let error = ended.outcome.err().expect("no answer");
     assert!(error.progress >= Progress::Written && !error.never_ran());
     "broken".into()
@@ -325,12 +329,12 @@
 
 impl Wire for Telling {
     type Note = ();
-    type Said = ();
+    type HeadInfo = ();
 
-    fn last_lines(&self, _: &Job<()>, _: Micros, _: &mut Vec<u8>) {}
+    fn attempt_headers(&self, _: &Job<()>, _: Micros, _: &mut Vec<u8>) {}
 
-    fn heard(&self, job: &Job<()>, head: &http::Response) -> Heard<()> {
-        ById.heard(job, head)
+    fn response_head(&self, job: &Job<()>, head: &http::Response) -> ResponseMatch<()> {
+        ById.response_head(job, head)
     }
 
     fn ended(&self, ended: Ended<Telling>) {
@@ -341,7 +345,7 @@
                 attempt,
                 note,
                 begun_at,
-                outcome: Ok(Served { said: (), status: s.status, body: s.body }),
+                outcome: Ok(Served { head_info: (), status: s.status, body: s.body }),
             })
         });
         let _ = self.0.lock().expect("whole").send(told);
@@ -357,17 +361,17 @@
             dial_us: 5_000_000,
             answer_us: 5_000_000,
             idle_us: 30_000_000,
-            most: 10,
-            silence: None,
+            max_connections: 10,
+            tcp_user_timeout: None,
             bounds: BOUNDS,
         };
         let addr = listener.local_addr().expect("bound");
         let peer = Peer::start(addr, room(), Arc::new(Telling(Mutex::new(tell))), settings);
         for (id, at) in (1..).zip([0, bytes.len() / 3, bytes.len() / 2, bytes.len().saturating_sub(1)]) {
             let head = format!("{method} / HTTP/1.1\r\nHost: x\r\n").into_bytes();
-            let passage = Arc::new(Passage { head, body: BufferedBody::default() });
+            let request = Arc::new(ForwardedRequest { head, body: BufferedBody::default() });
             let until = room().clock.now() + 10_000_000;
-            assert!(peer.send(Job { id, attempt: 0, passage, again: true, until, note: () }));
+            assert!(peer.send(Job { id, attempt: 0, request, same_server_retry: true, until, note: () }));
             let (mut server, _) = listener.accept().expect("a connection");
             server.set_nodelay(true).expect("an option");
             let mut request = Vec::new();
@@ -386,7 +390,7 @@
                 Err(never_ran) => assert!(!never_ran && expected == "broken", "{name} split at {at}"),
             }
         }
-        peer.gone();
+        peer.remove();
     }
 }
 
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -8,7 +8,7 @@
 use net::http::{self, Bad, Bounds};
 use net::limits::{BufferedBody, ConnectionKind, Fd};
 use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Listener, Reply};
-use net::pool::{self, Ended, Job, Passage, Peer, Settings, Wire};
+use net::pool::{self, Ended, ForwardedRequest, Job, Peer, Settings, Wire};
 use net::resources::Resources;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -44,15 +44,15 @@
 
 impl Wire for ById {
     type Note = Vec<u8>;
-    type Said = ();
+    type HeadInfo = ();
 
-    fn last_lines(&self, job: &Job<Vec<u8>>, _: Micros, out: &mut Vec<u8>) {
+    fn attempt_headers(&self, job: &Job<Vec<u8>>, _: Micros, out: &mut Vec<u8>) {
         out.extend_from_slice(&[b"X-Id: ", job.note.as_slice(), b"\r\n"].concat());
     }
 
-    fn heard(&self, job: &Job<Vec<u8>>, head: &http::Response) -> pool::Heard<()> {
+    fn response_head(&self, job: &Job<Vec<u8>>, head: &http::Response) -> pool::ResponseMatch<()> {
         let mine = http::header(head.headers, "X-Id") == Some(&job.note);
-        if mine { pool::Heard::Mine(()) } else { pool::Heard::Surplus }
+        if mine { pool::ResponseMatch::Expected(()) } else { pool::ResponseMatch::Surplus }
     }
 
     fn ended(&self, ended: Ended<ById>) {
@@ -79,8 +79,8 @@
             dial_us: 5_000_000,
             answer_us: 5_000_000,
             idle_us: 30_000_000,
-            most: 10,
-            silence: Some(WAIT),
+            max_connections: 10,
+            tcp_user_timeout: Some(WAIT),
             bounds: BOUNDS,
         };
         let addr = listener.local_addr().expect("bound");
@@ -117,12 +117,12 @@
 
 fn job(clock: Clock, method: &str, id: u64, body: Vec<u8>) -> Job<Vec<u8>> {
     let head = format!("{method} /{id} HTTP/1.1\r\nHost: x\r\n").into_bytes();
-    let passage = Arc::new(Passage { head, body: BufferedBody { bytes: body, lease: None } });
+    let request = Arc::new(ForwardedRequest { head, body: BufferedBody { bytes: body, lease: None } });
     Job {
         id,
         attempt: 0,
-        passage,
-        again: false,
+        request,
+        same_server_retry: false,
         until: clock.now() + 10_000_000,
         note: id.to_string().into_bytes(),
     }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -16,7 +16,7 @@
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
 use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
 use net::limits::BufferedBody;
-use net::pool::Passage;
+use net::pool::ForwardedRequest;
 use net::timeouts::Timeouts;
 use settings::config::{Config, Index, Kind, Route, Tenant};
 use settings::drill::{Fault, Ran};
@@ -120,7 +120,7 @@
     pub name: Arc<[u8]>,
     /// The one life of a server that may run it.
     pub instance: Arc<str>,
-    pub passage: Arc<Passage>,
+    pub passage: Arc<ForwardedRequest>,
     /// An earlier attempt of this request went to this server.
     pub again: bool,
     pub until: Micros,
@@ -159,7 +159,7 @@
 struct Open {
     name: Arc<[u8]>,
     /// The request without what differs from server to server.
-    passage: Arc<Passage>,
+    passage: Arc<ForwardedRequest>,
     until: Micros,
     plan: usize,
     booking: u32,
@@ -371,7 +371,7 @@
         let trials = if reserved { self.book.trial_zones(zones) } else { 0 };
         let open = Open {
             name: ask.name.clone(),
-            passage: Arc::new(Passage { head: head(&ask, tenant), body: ask.body }),
+            passage: Arc::new(ForwardedRequest { head: head(&ask, tenant), body: ask.body }),
             until: self.now + left_us,
             plan,
             booking,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -326,8 +326,8 @@
             dial_us: DIAL_US,
             answer_us: ANSWER_US,
             idle_us: SERVER_IDLE_US,
-            most: usize::MAX,
-            silence: Some(SILENCE),
+            max_connections: usize::MAX,
+            tcp_user_timeout: Some(SILENCE),
             bounds: ANSWER,
         }
     }
@@ -339,10 +339,9 @@
                 front::Output::Send(job) => {
                     let front::Job { id, attempt, server, name, instance, passage, again, until } = job;
                     let note = AttemptInfo { name, instance };
-                    let sent = self
-                        .peers
-                        .get(&server)
-                        .is_some_and(|p| p.send(Job { id, attempt, passage, again, until, note }));
+                    let sent = self.peers.get(&server).is_some_and(|p| {
+                        p.send(Job { id, attempt, request: passage, same_server_retry: again, until, note })
+                    });
                     if !sent {
                         let end = End::Broken { reached: Reached::NeverRan };
                         self.inbox.post(Told::Ended(id, attempt, end));
@@ -371,11 +370,11 @@
                         .peers
                         .entry(server)
                         .or_insert_with(|| Peer::start(peer.addr, room.clone(), wire.clone(), settings));
-                    known.listed(peer.addr, up);
+                    known.update(peer.addr, up);
                 }
                 front::Output::Gone { server } => {
                     if let Some(peer) = self.peers.remove(&server) {
-                        peer.gone();
+                        peer.remove();
                     }
                 }
             }
--- a/crates/proxy/src/servers.rs
+++ b/crates/proxy/src/servers.rs
@@ -5,7 +5,7 @@
 use net::Micros;
 use net::errors::AttemptError;
 use net::http;
-use net::pool::{self, Ended, Heard, Job, Wire};
+use net::pool::{self, Ended, Job, ResponseMatch, Wire};
 use std::sync::Arc;
 
 /// Implements [`Wire`] for connections to servers.
@@ -37,20 +37,20 @@
 
 impl<T: Fn(u64, u32, End) + Send + Sync + 'static> Wire for ServerWire<T> {
     type Note = AttemptInfo;
-    type Said = AnswerInfo;
+    type HeadInfo = AnswerInfo;
 
-    fn last_lines(&self, job: &Job<AttemptInfo>, left_us: Micros, out: &mut Vec<u8>) {
+    fn attempt_headers(&self, job: &Job<AttemptInfo>, left_us: Micros, out: &mut Vec<u8>) {
         let left_ms = (left_us / 1000).max(1);
         out.extend_from_slice(
             format!("X-Time-Left: {left_ms}\r\nX-Expected-Instance: {}\r\n", job.note.instance).as_bytes(),
         );
     }
 
-    fn heard(&self, job: &Job<AttemptInfo>, head: &http::Response) -> Heard<AnswerInfo> {
+    fn response_head(&self, job: &Job<AttemptInfo>, head: &http::Response) -> ResponseMatch<AnswerInfo> {
         // Every answer names its attempt; one without a name can't be attributed to an attempt.
         let name = http::header(head.headers, "X-Attempt-Id");
         if name.is_none_or(|n| n.trim_ascii() != &*job.note.name) {
-            return Heard::Surplus;
+            return ResponseMatch::Surplus;
         }
         let mut headers = Vec::new();
         http::copy_end_to_end_headers(
@@ -59,13 +59,13 @@
             &mut headers,
         );
         let not_run = http::header(head.headers, "X-Not-Executed").is_some();
-        Heard::Mine(AnswerInfo { not_run, headers })
+        ResponseMatch::Expected(AnswerInfo { not_run, headers })
     }
 
     fn ended(&self, ended: Ended<ServerWire<T>>) {
         let end = match ended.outcome {
-            Ok(pool::Served { status, said, body }) => {
-                End::Answered(Served { status, not_run: said.not_run, headers: said.headers, body })
+            Ok(pool::Served { status, head_info, body }) => {
+                End::Answered(Served { status, not_run: head_info.not_run, headers: head_info.headers, body })
             }
             Err(why) => {
                 log::info!("attempt {}.{} failed: {why}", ended.id, ended.attempt);
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -12,8 +12,8 @@
 use net::errors::Cause;
 use net::http::{Bounds, Response};
 use net::limits::BufferedBody;
-use net::pool::exchange::{Exchange, Left, Then};
-use net::pool::{self, Heard, Wire};
+use net::pool::exchange::{AfterFailure, Exchange, ReadResult};
+use net::pool::{self, ResponseMatch, Wire};
 use proxy::front::{Answer, Ask, End, Input, Job, Output, Reached, Served};
 use proxy::servers::{AnswerInfo, AttemptInfo, ServerWire};
 use std::collections::{BTreeMap, VecDeque};
@@ -90,25 +90,26 @@
 
 impl Wire for Speaker {
     type Note = AttemptInfo;
-    type Said = AnswerInfo;
+    type HeadInfo = AnswerInfo;
 
-    fn last_lines(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
-        self.servers.last_lines(job, left_us, out);
+    fn attempt_headers(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
+        self.servers.attempt_headers(job, left_us, out);
     }
 
-    fn heard(&self, job: &Carried, head: &Response) -> Heard<AnswerInfo> {
+    fn response_head(&self, job: &Carried, head: &Response) -> ResponseMatch<AnswerInfo> {
         let mut headers = head.headers.to_vec();
         if self.blind {
             headers.retain(|h| h.name != "X-Attempt-Id");
             headers.push(Header { name: "X-Attempt-Id", value: &job.note.name });
         }
         let Response { status, len, framing, close, .. } = *head;
-        self.servers.heard(job, &Response { status, headers: &headers, len, framing, close })
+        self.servers.response_head(job, &Response { status, headers: &headers, len, framing, close })
     }
 
     fn ended(&self, ended: pool::Ended<Speaker>) {
         let pool::Ended { id, attempt, note, begun_at, outcome } = ended;
-        let outcome = outcome.map(|s| pool::Served { status: s.status, said: s.said, body: s.body });
+        let outcome =
+            outcome.map(|s| pool::Served { status: s.status, head_info: s.head_info, body: s.body });
         self.servers.ended(pool::Ended { id, attempt, note, begun_at, outcome });
     }
 }
@@ -197,8 +198,14 @@
             match output {
                 Output::Send(Job { id, attempt, server, name, instance, passage, again, until }) => {
                     let again = again && self.plant != Some(Plant::SameConnectionAgain);
-                    let job =
-                        Carried { id, attempt, passage, again, until, note: AttemptInfo { name, instance } };
+                    let job = Carried {
+                        id,
+                        attempt,
+                        request: passage,
+                        same_server_retry: again,
+                        until,
+                        note: AttemptInfo { name, instance },
+                    };
                     self.send(server, job);
                 }
                 Output::GiveUp { id, attempt, .. } => {
@@ -226,7 +233,7 @@
         for n in 0..self.conns.len() {
             let conn = &mut self.conns[n];
             let put_back = self.plant == Some(Plant::PutBackUnread);
-            if !conn.idle || !conn.open || conn.server != server || (job.again && !put_back) {
+            if !conn.idle || !conn.open || conn.server != server || (job.same_server_retry && !put_back) {
                 continue;
             }
             conn.idle = false;
@@ -252,7 +259,7 @@
         if self.trouble(2) == 1 {
             // It does not come up.
             return match exchange.fail(Cause::DialTimeout) {
-                Left::Failed(ended) => self.wire.ended(ended),
+                AfterFailure::Failed(ended) => self.wire.ended(ended),
                 _ => self.breaches.push("an attempt without an outcome".into()),
             };
         }
@@ -300,16 +307,19 @@
         }
         let (now, conn) = (self.proxy.now, &mut self.conns[n]);
         let ended = conn.pipe.over.is_some();
-        let read =
-            if readable { conn.exchange.read(&self.wire, &mut conn.pipe, ended) } else { Ok(Then::Wait) };
+        let read = if readable {
+            conn.exchange.read(&self.wire, &mut conn.pipe, ended)
+        } else {
+            Ok(ReadResult::Wait)
+        };
         let step = read.and_then(|then| {
             match then {
-                Then::Wait => {}
-                Then::Free { ended, .. } => {
+                ReadResult::Wait => {}
+                ReadResult::Reusable { ended, .. } => {
                     (conn.attempt, conn.idle) = (None, true);
                     self.wire.ended(ended);
                 }
-                Then::Over { ended } => {
+                ReadResult::Finished { ended } => {
                     let put_back = self.plant == Some(Plant::PutBackUnread) && conn.pipe.over.is_none();
                     (conn.attempt, conn.open, conn.idle) = (None, put_back, put_back);
                     ended.into_iter().for_each(|e| self.wire.ended(e));
@@ -317,7 +327,7 @@
                 }
             }
             conn.exchange.write(&mut conn.pipe)?;
-            if let Some(wait) = conn.exchange.hurry(now)? {
+            if let Some(wait) = conn.exchange.check_timeout(now)? {
                 conn.hurry_at = Some(now + wait);
             }
             Ok(())
@@ -326,9 +336,9 @@
         (conn.open, conn.idle, conn.attempt) = (false, false, None);
         let server = conn.server;
         match conn.exchange.fail(cause) {
-            Left::Nothing => {}
-            Left::Unsent(job) => self.send(server, job),
-            Left::Failed(ended) => self.wire.ended(ended),
+            AfterFailure::Nothing => {}
+            AfterFailure::Unsent(job) => self.send(server, job),
+            AfterFailure::Failed(ended) => self.wire.ended(ended),
         }
     }
 
