--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! What reads servers' answers and clients' requests, on a corpus that is split at each byte, cut, doubled, glued
-//! together and spoiled by chance. All of it from seeds and in bounded number.
+//! Fuzz tests of the parsing of servers' answers and clients' requests, on a corpus of messages that are split at each
+//! byte, truncated, concatenated, and corrupted at random. Seeds and numbers of cases are fixed.
 
 use net::Micros;
 use net::clock::{Alarms, Clock};
@@ -20,9 +20,9 @@
 
 const BOUNDS: Bounds = Bounds { head: 4096, body: 4096 };
 
-/// Name, what is expected, the bytes.
-fn corpus(of: &str) -> BTreeMap<String, (String, Vec<u8>)> {
-    let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus").join(of);
+/// The messages of a corpus by name, each with the expected result and the bytes.
+fn corpus(directory: &str) -> BTreeMap<String, (String, Vec<u8>)> {
+    let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus").join(directory);
     let files = std::fs::read_dir(dir).expect("a corpus").map(|f| f.expect("a file").path());
     let read = |path: std::path::PathBuf| {
         let text = std::fs::read_to_string(&path).expect("text");
@@ -37,6 +37,7 @@
 
 // ---- answers ----
 
+/// Takes an answer with `X-Id: 1` as the expected one.
 struct ById;
 
 impl Wire for ById {
@@ -56,16 +57,16 @@
     fn ended(&self, _: Ended<ById>) {}
 }
 
-/// Gives what has come, then nothing, or its end.
-struct Come<'b> {
+/// A simulated socket: gives the bytes, then would block, ends or fails.
+struct Input<'b> {
     bytes: &'b [u8],
-    over: Option<ErrorKind>,
+    error: Option<ErrorKind>,
     ended: bool,
 }
 
-impl Read for Come<'_> {
+impl Read for Input<'_> {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        match (self.bytes.is_empty(), self.over) {
+        match (self.bytes.is_empty(), self.error) {
             (false, _) => self.bytes.read(buf),
             (true, Some(kind)) => Err(kind.into()),
             (true, None) if self.ended => Ok(0),
@@ -81,48 +82,49 @@
     Reset,
 }
 
-/// What becomes of an attempt to which these parts come one after the other, and then that end.
-fn answered(method: &str, parts: &[&[u8]], end: End) -> String {
+/// The outcome of an attempt whose answer comes in these parts, followed by that end of the connection.
+fn attempt_outcome(method: &str, parts: &[&[u8]], end: End) -> String {
     let head = format!("{method} / HTTP/1.1\r\nHost: x\r\n").into_bytes();
     let request = Arc::new(ForwardedRequest { head, body: BufferedBody::default() });
     let job = Job { id: 1, attempt: 0, request, same_server_retry: false, until: 9_000_000, note: () };
     let mut exchange = Exchange::new(job, BOUNDS, 1_000_000);
     exchange.connected(&ById, 1);
     exchange.write(io::sink()).expect("taken");
-    let mut told = String::new();
+    let mut result = String::new();
     for (n, part) in parts.iter().chain([&&b""[..]]).enumerate() {
         let last = n == parts.len();
-        let over = (last && end == End::Reset).then_some(ErrorKind::ConnectionReset);
+        let error = (last && end == End::Reset).then_some(ErrorKind::ConnectionReset);
         let ended = last && end == End::Closed;
         if last && end == End::Open {
             break;
         }
-        let mut come = Come { bytes: part, over, ended };
-        match exchange.read(&ById, &mut come, ended || over.is_some()) {
+        let mut input = Input { bytes: part, error, ended };
+        match exchange.read(&ById, &mut input, ended || error.is_some()) {
             Ok(ReadResult::Wait) => {}
-            Ok(ReadResult::Reusable { ended, .. }) => told = format!("{} free", whole(ended)),
-            Ok(ReadResult::Finished { ended: Some(ended) }) => return format!("{} over", whole(ended)),
-            Ok(ReadResult::Finished { ended: None }) => return told.replace("free", "over"),
-            Err(cause) => return fails(&mut exchange, cause),
+            Ok(ReadResult::Reusable { ended, .. }) => result = format!("{} free", answer_text(ended)),
+            Ok(ReadResult::Finished { ended: Some(ended) }) => return format!("{} over", answer_text(ended)),
+            Ok(ReadResult::Finished { ended: None }) => return result.replace("free", "over"),
+            Err(cause) => return failure(&mut exchange, cause),
         }
     }
-    if told.is_empty() { "waits".into() } else { told }
+    if result.is_empty() { "waits".into() } else { result }
 }
 
-fn whole(ended: Ended<ById>) -> String {
+fn answer_text(ended: Ended<ById>) -> String {
     let served = ended.outcome.expect("an answer");
     let body = String::from_utf8_lossy(&served.body).into_owned();
     format!("{} {}", served.status, if body.is_empty() { "-" } else { &body })
 }
 
-/// Once the request is written a failure is never one of an attempt that has not run.
-fn fails(exchange: &mut Exchange<ById>, cause: Cause) -> String {
+/// The outcome of a failed attempt. As its request is written, it must not count as one that never ran.
+fn failure(exchange: &mut Exchange<ById>, cause: Cause) -> String {
     let AfterFailure::Failed(ended) = exchange.fail(cause) else { panic!("an attempt without an outcome") };
     let error = ended.outcome.err().expect("no answer");
     assert!(error.progress >= Progress::Written && !error.never_ran());
     "broken".into()
 }
 
+/// The corpus of answers: name, method of the request, expected outcome, bytes.
 fn answers() -> Vec<(String, String, String, Vec<u8>)> {
     let read = |(name, (expected, bytes)): (String, (String, Vec<u8>))| {
         let (method, expected) = expected.split_once('\n').expect("a method");
@@ -131,37 +133,38 @@
     corpus("answers").into_iter().map(read).collect()
 }
 
-/// The outcome alone, without what becomes of the connection.
-fn outcome(told: &str) -> &str {
-    told.trim_end_matches(" free").trim_end_matches(" over")
+/// The status and body alone, without what becomes of the connection.
+fn outcome(result: &str) -> &str {
+    result.trim_end_matches(" free").trim_end_matches(" over")
 }
 
 #[test]
 fn an_answer_is_the_same_wherever_it_is_split_and_whole_only_whole() {
     for (name, method, expected, bytes) in answers() {
         assert!(bytes.len() < 400, "{name}: small");
-        // An end right behind a whole answer ends the connection, whatever the answer says.
-        let closed = answered(&method, &[&bytes], End::Closed);
+        // If the server closes right after a complete answer, the connection ends, whatever the answer says.
+        let closed = attempt_outcome(&method, &[&bytes], End::Closed);
         assert_eq!(outcome(&closed), outcome(&expected), "{name}");
         if expected.ends_with(" free") {
-            assert_eq!(answered(&method, &[&bytes], End::Open), expected, "{name}");
+            assert_eq!(attempt_outcome(&method, &[&bytes], End::Open), expected, "{name}");
         }
         let to_end = name == "to-the-end";
         for at in 0..=bytes.len() {
             let (one, two) = bytes.split_at(at);
-            let split = answered(&method, &[one, two], End::Closed);
+            let split = attempt_outcome(&method, &[one, two], End::Closed);
             assert_eq!(outcome(&split), outcome(&expected), "{name} split at {at}");
-            // Cut there, it is what it was, or nothing; where only the end tells the end, a reset tells that it was cut.
+            // Truncated there, the outcome is the same or a failure. If the body ends with the connection, only a reset
+            // shows that it was truncated.
             for end in [End::Closed, End::Reset] {
-                let cut = answered(&method, &[one], end);
+                let cut = attempt_outcome(&method, &[one], end);
                 let same = outcome(&cut) == outcome(&expected);
-                let told = to_end && end == End::Closed;
-                assert!(same || cut == "broken" || told, "{name} cut at {at}: {cut}");
+                let undetectable = to_end && end == End::Closed;
+                assert!(same || cut == "broken" || undetectable, "{name} cut at {at}: {cut}");
             }
         }
         let each: Vec<&[u8]> = bytes.chunks(1).collect();
         assert_eq!(
-            outcome(&answered(&method, &each, End::Closed)),
+            outcome(&attempt_outcome(&method, &each, End::Closed)),
             outcome(&expected),
             "{name} byte by byte"
         );
@@ -175,16 +178,17 @@
         for (other, _, _, more) in all.iter().filter(|a| !a.3.is_empty()) {
             let glued = [bytes.as_slice(), more].concat();
             for parts in [vec![glued.as_slice()], vec![bytes.as_slice(), more]] {
-                let told = answered(method, &parts, End::Open);
-                assert_eq!(outcome(&told), outcome(expected), "{name} {other}");
-                assert!(told.ends_with(" over"), "{name} {other}: {told}");
+                let result = attempt_outcome(method, &parts, End::Open);
+                assert_eq!(outcome(&result), outcome(expected), "{name} {other}");
+                assert!(result.ends_with(" over"), "{name} {other}: {result}");
             }
         }
     }
 }
 
-/// Spoiled by chance: bytes changed, dropped, doubled, pieces of others put in.
-fn spoil(rng: &mut fastrand::Rng, bytes: &mut Vec<u8>, other: &[u8]) {
+/// Corrupts a message at random: bytes are changed, dropped, inserted or repeated, or a part of
+/// another message is inserted.
+fn corrupt(rng: &mut fastrand::Rng, bytes: &mut Vec<u8>, other: &[u8]) {
     for _ in 0..rng.usize(1..4) {
         let at = rng.usize(0..=bytes.len());
         match rng.u32(0..5) {
@@ -204,23 +208,24 @@
     }
 }
 
-const SPOILED: u64 = 20_000;
+/// The number of corrupted messages per test, one for each seed.
+const CORRUPTED_CASES: u64 = 20_000;
 
 #[test]
 fn spoiled_answers_are_the_same_wherever_they_are_split() {
     let all = answers();
-    for seed in 0..SPOILED {
+    for seed in 0..CORRUPTED_CASES {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (name, method, _, bytes) = rng.choice(&all).expect("some");
         let mut bytes = bytes.clone();
         let other = &rng.choice(&all).expect("some").3;
-        spoil(&mut rng, &mut bytes, other);
-        let told = answered(method, &[&bytes], End::Closed);
+        corrupt(&mut rng, &mut bytes, other);
+        let unsplit = attempt_outcome(method, &[&bytes], End::Closed);
         let (one, two) = bytes.split_at(rng.usize(0..=bytes.len()));
-        let split = answered(method, &[one, two], End::Closed);
+        let split = attempt_outcome(method, &[one, two], End::Closed);
         assert_eq!(
             outcome(&split),
-            outcome(&told),
+            outcome(&unsplit),
             "seed {seed}: {name} {:?}",
             String::from_utf8_lossy(&bytes)
         );
@@ -229,46 +234,46 @@
 
 // ---- requests ----
 
-/// What is read of requests that come in these parts, one a line.
-fn asked(parts: &[&[u8]]) -> Vec<String> {
-    let (mut held, mut told, mut body) = (Vec::new(), Vec::new(), None::<(String, Body)>);
+/// The requests read from these parts, one a line; last the status of a refusal, or `wants more`.
+fn requests_read(parts: &[&[u8]]) -> Vec<String> {
+    let (mut buffer, mut result, mut body) = (Vec::new(), Vec::new(), None::<(String, Body)>);
     for part in parts {
-        held.extend_from_slice(part);
+        buffer.extend_from_slice(part);
         loop {
-            if let Some((line, on_its_way)) = &mut body {
-                match on_its_way.take(&held) {
+            if let Some((line, incoming)) = &mut body {
+                match incoming.take(&buffer) {
                     Err(bad) => {
-                        told.push(bad.status.to_string());
-                        return told;
+                        result.push(bad.status.to_string());
+                        return result;
                     }
-                    Ok(used) => _ = held.drain(..used),
+                    Ok(used) => _ = buffer.drain(..used),
                 }
-                if !on_its_way.done() {
+                if !incoming.done() {
                     break;
                 }
-                let content = String::from_utf8_lossy(&on_its_way.content).into_owned();
-                told.push(format!("{line} {content}").trim_end().to_string());
+                let content = String::from_utf8_lossy(&incoming.content).into_owned();
+                result.push(format!("{line} {content}").trim_end().to_string());
                 body = None;
             }
             let mut slots = NO_HEADERS;
-            let (line, len, new) = match http::request(&held, &mut slots, BOUNDS) {
+            let (line, len, new) = match http::request(&buffer, &mut slots, BOUNDS) {
                 Ok(None) => break,
                 Ok(Some(head)) => {
                     (format!("{} {}", head.method, head.target), head.len, Body::new(head.framing, BOUNDS))
                 }
                 Err(bad) => {
-                    told.push(bad.status.to_string());
-                    return told;
+                    result.push(bad.status.to_string());
+                    return result;
                 }
             };
-            held.drain(..len);
+            buffer.drain(..len);
             body = Some((line, new));
         }
     }
-    if !held.is_empty() || body.is_some() {
-        told.push("wants more".into());
+    if !buffer.is_empty() || body.is_some() {
+        result.push("wants more".into());
     }
-    told
+    result
 }
 
 #[test]
@@ -276,21 +281,21 @@
     let all = corpus("requests");
     for (name, (expected, bytes)) in &all {
         let expected: Vec<&str> = expected.lines().collect();
-        assert_eq!(asked(&[bytes]), expected, "{name}");
+        assert_eq!(requests_read(&[bytes]), expected, "{name}");
         let good = expected.iter().all(|l| l.starts_with(['G', 'P']));
         for at in 0..=bytes.len() {
             let (one, two) = bytes.split_at(at);
-            assert_eq!(asked(&[one, two]), expected, "{name} split at {at}");
-            // Cut, no request is there that was not there whole.
-            let cut = asked(&[one]);
+            assert_eq!(requests_read(&[one, two]), expected, "{name} split at {at}");
+            // Truncated, it gives no request that the complete bytes do not give.
+            let cut = requests_read(&[one]);
             let whole = cut.iter().filter(|l| *l != "wants more");
             assert!(whole.zip(&expected).all(|(a, b)| a == b), "{name} cut at {at}: {cut:?}");
         }
         let each: Vec<&[u8]> = bytes.chunks(1).collect();
-        assert_eq!(asked(&each), expected, "{name} byte by byte");
-        for (other, (more, behind)) in all.iter().filter(|_| good) {
+        assert_eq!(requests_read(&each), expected, "{name} byte by byte");
+        for (other, (more, following)) in all.iter().filter(|_| good) {
             let both: Vec<&str> = expected.iter().copied().chain(more.lines()).collect();
-            assert_eq!(asked(&[&[bytes.as_slice(), behind].concat()]), both, "{name} {other}");
+            assert_eq!(requests_read(&[&[bytes.as_slice(), following].concat()]), both, "{name} {other}");
         }
     }
 }
@@ -298,36 +303,37 @@
 #[test]
 fn spoiled_requests_are_the_same_wherever_they_are_split() {
     let all: Vec<Vec<u8>> = corpus("requests").into_values().map(|r| r.1).collect();
-    for seed in 0..SPOILED {
+    for seed in 0..CORRUPTED_CASES {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut bytes = rng.choice(&all).expect("some").clone();
         let other = rng.choice(&all).expect("some");
-        spoil(&mut rng, &mut bytes, other);
-        let told = asked(&[&bytes]);
+        corrupt(&mut rng, &mut bytes, other);
+        let unsplit = requests_read(&[&bytes]);
         let (one, two) = bytes.split_at(rng.usize(0..=bytes.len()));
-        assert_eq!(asked(&[one, two]), told, "seed {seed}: {:?}", String::from_utf8_lossy(&bytes));
+        assert_eq!(requests_read(&[one, two]), unsplit, "seed {seed}: {:?}", String::from_utf8_lossy(&bytes));
     }
 }
 
 // ---- the same over sockets ----
 
+/// Limit of each wait.
 const WAIT: Duration = Duration::from_secs(10);
 
-fn room() -> Arc<Resources> {
-    static ROOM: OnceLock<Arc<Resources>> = OnceLock::new();
+fn resources() -> Arc<Resources> {
+    static RESOURCES: OnceLock<Arc<Resources>> = OnceLock::new();
     let start = || {
         net::set_up();
         let clock = Clock::start();
         let alarms = Alarms::start(clock).expect("a timer");
         Arc::new(Resources::new(4000, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
     };
-    ROOM.get_or_init(start).clone()
+    RESOURCES.get_or_init(start).clone()
 }
 
-/// Reads answers as `ById` does, and passes on what has ended.
-struct Telling(Mutex<Sender<Result<String, bool>>>);
+/// Reads answers as `ById` does, and sends outcomes to the test.
+struct Reporting(Mutex<Sender<Result<String, bool>>>);
 
-impl Wire for Telling {
+impl Wire for Reporting {
     type Note = ();
     type HeadInfo = ();
 
@@ -337,10 +343,10 @@
         ById.response_head(job, head)
     }
 
-    fn ended(&self, ended: Ended<Telling>) {
+    fn ended(&self, ended: Ended<Reporting>) {
         let Ended { id, attempt, note, begun_at, outcome } = ended;
-        let told = outcome.map_err(|e| e.never_ran()).map(|s| {
-            whole(Ended {
+        let result = outcome.map_err(|e| e.never_ran()).map(|s| {
+            answer_text(Ended {
                 id,
                 attempt,
                 note,
@@ -348,7 +354,7 @@
                 outcome: Ok(Served { head_info: (), status: s.status, body: s.body }),
             })
         });
-        let _ = self.0.lock().expect("whole").send(told);
+        let _ = self.0.lock().expect("not poisoned").send(result);
     }
 }
 
@@ -356,7 +362,7 @@
 fn answers_are_the_same_over_sockets() {
     for (name, method, expected, bytes) in answers() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (tell, told) = channel();
+        let (sender, results) = channel();
         let settings = Settings {
             dial_us: 5_000_000,
             answer_us: 5_000_000,
@@ -366,11 +372,11 @@
             bounds: BOUNDS,
         };
         let addr = listener.local_addr().expect("bound");
-        let peer = Peer::start(addr, room(), Arc::new(Telling(Mutex::new(tell))), settings);
+        let peer = Peer::start(addr, resources(), Arc::new(Reporting(Mutex::new(sender))), settings);
         for (id, at) in (1..).zip([0, bytes.len() / 3, bytes.len() / 2, bytes.len().saturating_sub(1)]) {
             let head = format!("{method} / HTTP/1.1\r\nHost: x\r\n").into_bytes();
             let request = Arc::new(ForwardedRequest { head, body: BufferedBody::default() });
-            let until = room().clock.now() + 10_000_000;
+            let until = resources().clock.now() + 10_000_000;
             assert!(peer.send(Job { id, attempt: 0, request, same_server_retry: true, until, note: () }));
             let (mut server, _) = listener.accept().expect("a connection");
             server.set_nodelay(true).expect("an option");
@@ -382,11 +388,11 @@
             }
             server.write_all(&bytes[..at]).expect("taken");
             std::thread::yield_now();
-            // The proxy may have heard enough, and be gone.
+            // The pool may have closed the connection already.
             let _ = server.write_all(&bytes[at..]);
             drop(server);
-            match told.recv_timeout(WAIT).expect("told") {
-                Ok(told) => assert_eq!(told, outcome(&expected), "{name} split at {at}"),
+            match results.recv_timeout(WAIT).expect("an outcome") {
+                Ok(result) => assert_eq!(result, outcome(&expected), "{name} split at {at}"),
                 Err(never_ran) => assert!(!never_ran && expected == "broken", "{name} split at {at}"),
             }
         }
@@ -394,7 +400,7 @@
     }
 }
 
-/// Answers with what it was asked.
+/// Answers with the request it got.
 struct Echo;
 
 impl Handler for Echo {
@@ -419,9 +425,9 @@
         Ok(listener::HeadAction::Accept(format!("{} {}", head.method, head.target)))
     }
 
-    fn handle(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
+    fn handle(&self, _: u64, request: String, body: BufferedBody, reply: Reply) {
         let content = String::from_utf8_lossy(&body.bytes).into_owned();
-        reply.send(Answer::text(200, format!("{ask} {content}").trim_end()));
+        reply.send(Answer::text(200, format!("{request} {content}").trim_end()));
     }
 
     fn client_gone(&self, _: u64) {}
@@ -438,10 +444,10 @@
 #[test]
 fn requests_are_the_same_over_sockets() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let door = Listener::start(any, room(), Arc::new(Echo)).expect("a port");
+    let listener = Listener::start(any, resources(), Arc::new(Echo)).expect("a port");
     for (name, (expected, bytes)) in corpus("requests") {
         for at in [0, bytes.len() / 3, bytes.len() / 2, bytes.len() - 1] {
-            let mut client = TcpStream::connect(door.addr()).expect("connects");
+            let mut client = TcpStream::connect(listener.addr()).expect("connects");
             client.set_read_timeout(Some(WAIT)).expect("an option");
             client.set_nodelay(true).expect("an option");
             client.write_all(&bytes[..at]).expect("taken");
--- a/crates/net/tests/orders.rs
+++ b/crates/net/tests/orders.rs
@@ -1,73 +1,76 @@
-//! All orders in which two senders, one actor and the event loop can meet at a mailbox, a bell and a wait. The
-//! steps are those of `net::mailbox` and of the coroutine library (0.3.51), written down again; every state that
-//! any order of them leads to is visited. An actor that waits for good with something left for it has lost a
-//! wake-up. Each fault that the steps guard against is planted and must be caught.
+//! Guards against lost wake-ups: a model check of a mailbox, its waker and a wait. It repeats the steps of
+//! `net::mailbox` and of the coroutine library (0.3.51) for two senders or a sender and the event loop, and one actor, and
+//! visits every state that any order of the steps leads to. An actor that waits forever with a message or an event left
+//! for it has lost a wake-up. Each fault that the steps guard against is planted and must be found.
 //!
-//! Steps are taken one at a time here, on processors they overlap. The two that would matter, "parked, then the
-//! flag" of the wait and "flag, then who is parked" of the ring, both pass the place of the parked by a swap, so
-//! of two such swaps the later one sees all that came before the earlier.
+//! The model takes steps one at a time; on processors they overlap. The two overlaps that would matter are "park, then
+//! read the flag" of the wait and "set the flag, then take the parked coroutine" of the waker. Both access the slot of the
+//! parked coroutine with a swap, so of two such swaps the later one sees everything before the earlier one.
 
 use std::collections::HashSet;
 
+/// A fault planted in the steps.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// The bell is rung before the message is in the queue.
-    RingsFirst,
-    /// The wait parks without another look at the flag.
-    ParksBlindly,
-    /// The flag is taken after the look, not before it.
-    ForgetsLate,
-    /// The ring finds out who is parked before it sets the flag.
-    FlagsLate,
-    /// The wait clears what the system has told where it tells of a ring.
-    HeedsRingOnly,
-    /// Who has moved to another bell waits before it looks.
-    MovesBlindly,
+    /// The waker is called before the message is in the queue.
+    WakesBeforePost,
+    /// The wait parks without reading the flag again.
+    ParksWithoutCheck,
+    /// The flag is cleared after the mailbox is read, not before.
+    ClearsFlagLate,
+    /// The waker takes the parked coroutine before it sets the flag.
+    SetsFlagLate,
+    /// The wait drops the system's event if the waker was called too.
+    DropsEvent,
+    /// An actor that has replaced its waker waits before it reads the mailbox.
+    MovesWithoutCheck,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Source {
-    /// Posts a message and rings.
+    /// Posts a message and calls the waker.
     Sender,
-    /// Bytes have come: the event loop tells of them once.
+    /// Bytes have come: the event loop reports them once.
     System,
 }
 
-/// Where one that wakes stands.
+/// The step that a source is at.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Waking {
-    Begins,
-    /// Its message is in the queue, or on its way there if the bell comes first.
+enum SourceStep {
+    Start,
+    /// Its message is in the queue, or will be after the wake-up if that fault is planted. Next it locks the waker.
     Posted,
-    /// It holds the bell of this event.
-    Flag(usize),
-    Take(usize),
-    /// It has taken the parked actor and is to have it run.
-    Run(usize),
-    /// The bell is let go; only the planted fault still has a message to post.
-    Let,
-    Through,
+    /// Sets the flag of this event; a sender holds the lock of the waker.
+    SetFlag(usize),
+    /// Takes the parked coroutine of this event.
+    TakeParked(usize),
+    /// It has taken the parked actor and schedules it.
+    Schedule(usize),
+    /// The lock is released; only with the planted fault a message is still to be posted.
+    Released,
+    Done,
 }
 
-/// Where the actor stands.
+/// The step that the actor is at.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Actor {
-    Moves,
-    Looks,
+enum ActorStep {
+    ReplacesWaker,
+    ReadsMailbox,
     Waits,
     Parks,
-    LooksAgain,
-    TakesItselfBack,
+    ChecksFlagAgain,
+    Unparks,
     Parked,
     TakesFlag,
-    Forgets,
+    /// Clears the flag; only with the planted fault.
+    ClearsFlag,
 }
 
-/// The library's event data: a flag, the coroutine while it is parked, and whether it is to be run.
+/// The library's event data: the flag, whether the coroutine is parked, and whether it is scheduled to run.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 struct Event {
-    rung: bool,
+    woken: bool,
     readable: bool,
     parked: bool,
     scheduled: bool,
@@ -75,163 +78,168 @@
 
 impl Event {
     fn flagged(&self) -> bool {
-        self.rung || self.readable
+        self.woken || self.readable
     }
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct State {
     events: [Event; 2],
-    /// The event that the mailbox's bell wakes, and whether someone holds it.
-    bell: usize,
-    held: bool,
+    /// The event that the mailbox's waker belongs to, and whether the waker is locked.
+    waker: usize,
+    locked: bool,
     queue: u8,
-    sources: [(Source, Waking); 2],
-    actor: Actor,
+    sources: [(Source, SourceStep); 2],
+    actor: ActorStep,
     /// The event that the actor waits on.
-    on: usize,
-    /// Messages taken and bytes seen.
-    got: u8,
+    waits_on: usize,
+    /// Messages and events received.
+    received: u8,
 }
 
 impl State {
     fn new(sources: [Source; 2], moves: bool) -> State {
         State {
             events: Default::default(),
-            bell: 0,
-            held: false,
+            waker: 0,
+            locked: false,
             queue: 0,
-            sources: sources.map(|s| (s, Waking::Begins)),
-            actor: if moves { Actor::Moves } else { Actor::Looks },
-            on: 0,
-            got: 0,
+            sources: sources.map(|s| (s, SourceStep::Start)),
+            actor: if moves { ActorStep::ReplacesWaker } else { ActorStep::ReadsMailbox },
+            waits_on: 0,
+            received: 0,
         }
     }
 
-    /// The states that one step of anybody leads to.
+    /// The states that one step of any participant leads to.
     fn next(&self, fault: Fault) -> Vec<State> {
-        let woken = (0..2).filter_map(|n| self.wakes(n, fault));
-        woken.chain(self.acts(fault)).collect()
+        let source_steps = (0..2).filter_map(|n| self.source_step(n, fault));
+        source_steps.chain(self.actor_step(fault)).collect()
     }
 
-    /// A step of one that wakes: `Mailbox::post` with `WaitIoWaker::wakeup`, or `Selector::select`.
-    fn wakes(&self, n: usize, fault: Fault) -> Option<State> {
+    /// A step of a source: `Mailbox::post` with `WaitIoWaker::wakeup`, or `Selector::select`.
+    fn source_step(&self, n: usize, fault: Fault) -> Option<State> {
         let mut s = self.clone();
         let (source, at) = s.sources[n];
-        let rings_first = fault == Fault::RingsFirst;
+        let wakes_first = fault == Fault::WakesBeforePost;
         s.sources[n].1 = match (source, at) {
-            (_, Waking::Through) => return None,
-            (Source::System, Waking::Begins) => Waking::Flag(0),
-            (Source::Sender, Waking::Begins) => {
-                s.queue += u8::from(!rings_first);
-                Waking::Posted
+            (_, SourceStep::Done) => return None,
+            (Source::System, SourceStep::Start) => SourceStep::SetFlag(0),
+            (Source::Sender, SourceStep::Start) => {
+                s.queue += u8::from(!wakes_first);
+                SourceStep::Posted
             }
-            (_, Waking::Posted) if s.held => return None,
-            (_, Waking::Posted) => {
-                s.held = true;
-                if fault == Fault::FlagsLate { Waking::Take(s.bell) } else { Waking::Flag(s.bell) }
+            (_, SourceStep::Posted) if s.locked => return None,
+            (_, SourceStep::Posted) => {
+                s.locked = true;
+                if fault == Fault::SetsFlagLate {
+                    SourceStep::TakeParked(s.waker)
+                } else {
+                    SourceStep::SetFlag(s.waker)
+                }
             }
-            (_, Waking::Flag(e)) => {
+            (_, SourceStep::SetFlag(e)) => {
                 match source {
-                    Source::Sender => s.events[e].rung = true,
+                    Source::Sender => s.events[e].woken = true,
                     Source::System => s.events[e].readable = true,
                 }
-                if source == Source::Sender && fault == Fault::FlagsLate {
-                    s.held = false;
-                    Waking::Let
+                if source == Source::Sender && fault == Fault::SetsFlagLate {
+                    s.locked = false;
+                    SourceStep::Released
                 } else {
-                    Waking::Take(e)
+                    SourceStep::TakeParked(e)
                 }
             }
-            (_, Waking::Take(e)) => {
+            (_, SourceStep::TakeParked(e)) => {
                 let taken = std::mem::take(&mut s.events[e].parked);
                 match source {
-                    _ if taken => Waking::Run(e),
-                    Source::Sender if fault == Fault::FlagsLate => Waking::Flag(e),
+                    _ if taken => SourceStep::Schedule(e),
+                    Source::Sender if fault == Fault::SetsFlagLate => SourceStep::SetFlag(e),
                     Source::Sender => {
-                        s.held = false;
-                        Waking::Let
+                        s.locked = false;
+                        SourceStep::Released
                     }
-                    Source::System => Waking::Through,
+                    Source::System => SourceStep::Done,
                 }
             }
-            (_, Waking::Run(e)) => {
-                // Else it would run twice at once.
-                let away = [Actor::LooksAgain, Actor::TakesItselfBack, Actor::Parked].contains(&s.actor);
-                assert!(away && !s.events[e].scheduled && s.on == e, "run twice");
+            (_, SourceStep::Schedule(e)) => {
+                // Otherwise it would run twice at the same time.
+                let not_running =
+                    [ActorStep::ChecksFlagAgain, ActorStep::Unparks, ActorStep::Parked].contains(&s.actor);
+                assert!(not_running && !s.events[e].scheduled && s.waits_on == e, "run twice");
                 s.events[e].scheduled = true;
                 match source {
-                    Source::Sender if fault == Fault::FlagsLate => Waking::Flag(e),
+                    Source::Sender if fault == Fault::SetsFlagLate => SourceStep::SetFlag(e),
                     Source::Sender => {
-                        s.held = false;
-                        Waking::Let
+                        s.locked = false;
+                        SourceStep::Released
                     }
-                    Source::System => Waking::Through,
+                    Source::System => SourceStep::Done,
                 }
             }
-            (_, Waking::Let) => {
-                s.queue += u8::from(rings_first);
-                Waking::Through
+            (_, SourceStep::Released) => {
+                s.queue += u8::from(wakes_first);
+                SourceStep::Done
             }
         };
         Some(s)
     }
 
-    /// A step of the actor: its look, and `WaitIo::wait_io` with `RawIoBlock::subscribe`.
-    fn acts(&self, fault: Fault) -> Option<State> {
+    /// A step of the actor: reading the mailbox, or `WaitIo::wait_io` with `RawIoBlock::subscribe`.
+    fn actor_step(&self, fault: Fault) -> Option<State> {
         let mut s = self.clone();
-        let event = &mut s.events[s.on];
+        let event = &mut s.events[s.waits_on];
         s.actor = match s.actor {
-            Actor::Moves if s.held => return None,
-            Actor::Moves => {
-                (s.bell, s.on) = (1, 1);
-                if fault == Fault::MovesBlindly { Actor::Waits } else { Actor::Looks }
+            ActorStep::ReplacesWaker if s.locked => return None,
+            ActorStep::ReplacesWaker => {
+                (s.waker, s.waits_on) = (1, 1);
+                if fault == Fault::MovesWithoutCheck { ActorStep::Waits } else { ActorStep::ReadsMailbox }
             }
-            Actor::Looks if s.queue > 0 => {
-                (s.queue, s.got) = (s.queue - 1, s.got + 1);
-                Actor::Looks
+            ActorStep::ReadsMailbox if s.queue > 0 => {
+                (s.queue, s.received) = (s.queue - 1, s.received + 1);
+                ActorStep::ReadsMailbox
             }
-            Actor::Looks if s.got == 2 => return None,
-            Actor::Looks if fault == Fault::ForgetsLate => Actor::Forgets,
-            Actor::Looks => Actor::Waits,
-            Actor::Forgets => {
-                (event.rung, event.readable) = (false, false);
-                Actor::Waits
+            ActorStep::ReadsMailbox if s.received == 2 => return None,
+            ActorStep::ReadsMailbox if fault == Fault::ClearsFlagLate => ActorStep::ClearsFlag,
+            ActorStep::ReadsMailbox => ActorStep::Waits,
+            ActorStep::ClearsFlag => {
+                (event.woken, event.readable) = (false, false);
+                ActorStep::Waits
             }
-            Actor::Waits if event.flagged() => Actor::TakesFlag,
-            Actor::Waits => Actor::Parks,
-            Actor::Parks => {
+            ActorStep::Waits if event.flagged() => ActorStep::TakesFlag,
+            ActorStep::Waits => ActorStep::Parks,
+            ActorStep::Parks => {
                 event.parked = true;
-                if fault == Fault::ParksBlindly { Actor::Parked } else { Actor::LooksAgain }
+                if fault == Fault::ParksWithoutCheck { ActorStep::Parked } else { ActorStep::ChecksFlagAgain }
             }
-            Actor::LooksAgain if event.flagged() => Actor::TakesItselfBack,
-            Actor::LooksAgain => Actor::Parked,
-            Actor::TakesItselfBack => {
+            ActorStep::ChecksFlagAgain if event.flagged() => ActorStep::Unparks,
+            ActorStep::ChecksFlagAgain => ActorStep::Parked,
+            ActorStep::Unparks => {
                 let taken = std::mem::take(&mut event.parked);
-                if taken { Actor::TakesFlag } else { Actor::Parked }
+                if taken { ActorStep::TakesFlag } else { ActorStep::Parked }
             }
-            Actor::Parked if !event.scheduled => return None,
-            Actor::Parked => {
+            ActorStep::Parked if !event.scheduled => return None,
+            ActorStep::Parked => {
                 event.scheduled = false;
-                Actor::TakesFlag
+                ActorStep::TakesFlag
             }
-            Actor::TakesFlag => {
-                s.got += u8::from(event.readable && !(event.rung && fault == Fault::HeedsRingOnly));
-                if fault != Fault::ForgetsLate {
-                    (event.rung, event.readable) = (false, false);
+            ActorStep::TakesFlag => {
+                s.received += u8::from(event.readable && !(event.woken && fault == Fault::DropsEvent));
+                if fault != Fault::ClearsFlagLate {
+                    (event.woken, event.readable) = (false, false);
                 }
-                Actor::Looks
+                ActorStep::ReadsMailbox
             }
         };
         Some(s)
     }
 
     fn done(&self) -> bool {
-        self.actor == Actor::Looks && self.got == 2 && self.queue == 0
+        self.actor == ActorStep::ReadsMailbox && self.received == 2 && self.queue == 0
     }
 }
 
-/// Visits all states; how many there are, or one in which something is left for an actor that waits for good.
+/// Visits all states. Returns their number, or a state in which an actor waits forever with something left for it.
 fn explore(start: State, fault: Fault) -> Result<usize, State> {
     let (mut seen, mut open) = (HashSet::from([start.clone()]), vec![start]);
     while let Some(state) = open.pop() {
@@ -245,15 +253,16 @@
 }
 
 const SENDERS: [Source; 2] = [Source::Sender; 2];
-const BOTH: [Source; 2] = [Source::Sender, Source::System];
+const SENDER_AND_SYSTEM: [Source; 2] = [Source::Sender, Source::System];
 
-fn lost(sources: [Source; 2], moves: bool, fault: Fault) -> bool {
-    explore(State::new(sources, moves), fault).is_err_and(|left| left.actor == Actor::Parked)
+/// Whether a wake-up is lost in some order of the steps.
+fn loses_wakeup(sources: [Source; 2], moves: bool, fault: Fault) -> bool {
+    explore(State::new(sources, moves), fault).is_err_and(|state| state.actor == ActorStep::Parked)
 }
 
 #[test]
-fn nothing_is_left_lying_in_any_order() {
-    for (sources, moves) in [(SENDERS, false), (SENDERS, true), (BOTH, false)] {
+fn no_wake_up_is_lost_in_any_order() {
+    for (sources, moves) in [(SENDERS, false), (SENDERS, true), (SENDER_AND_SYSTEM, false)] {
         let states = explore(State::new(sources, moves), Fault::None);
         assert!(states.as_ref().is_ok_and(|n| *n > 100), "{states:?}");
         println!("{sources:?}, moving {moves}: {states:?} states");
@@ -262,43 +271,49 @@
 
 #[test]
 fn each_planted_fault_is_caught() {
-    for fault in [Fault::RingsFirst, Fault::ParksBlindly, Fault::ForgetsLate, Fault::FlagsLate] {
-        assert!(lost(SENDERS, false, fault));
+    for fault in
+        [Fault::WakesBeforePost, Fault::ParksWithoutCheck, Fault::ClearsFlagLate, Fault::SetsFlagLate]
+    {
+        assert!(loses_wakeup(SENDERS, false, fault));
     }
-    assert!(lost(BOTH, false, Fault::ParksBlindly) && lost(BOTH, false, Fault::HeedsRingOnly));
-    assert!(lost(SENDERS, true, Fault::MovesBlindly));
+    assert!(
+        loses_wakeup(SENDER_AND_SYSTEM, false, Fault::ParksWithoutCheck)
+            && loses_wakeup(SENDER_AND_SYSTEM, false, Fault::DropsEvent)
+    );
+    assert!(loses_wakeup(SENDERS, true, Fault::MovesWithoutCheck));
 }
 
 // ---- descriptors ----
 
-/// Two threads and the numbers of descriptors: which are open, and which the event loop watches. One thread closes
-/// what it watches; the other opens something, gets the lowest free number and watches it. False if that is not
-/// watched in the end.
+/// Models two threads, the numbers of open descriptors, and which of them the event loop watches. One thread closes a
+/// descriptor that it watches; the other opens one, gets the lowest free number and watches it. Returns false if the new
+/// one is not watched in the end in some order of the steps.
 fn watched_in_every_order(watch_ends_first: bool) -> bool {
     let (first, second) = if watch_ends_first { ("unwatch", "close") } else { ("close", "unwatch") };
-    // Each order of the two steps of the one among the two of the other.
+    // Each bit set is a step of the closing thread: all orders of its two steps among the two of the other.
     (0..16_u32).filter(|order| order.count_ones() == 2).all(|order| {
-        let (mut open, mut watched, mut mine) = ([true, false], [true, false], 0);
-        let (mut ending, mut opening) = ([first, second].into_iter(), ["open", "watch"].into_iter());
+        let (mut open, mut watched, mut new_fd) = ([true, false], [true, false], 0);
+        let (mut closing_steps, mut opening_steps) =
+            ([first, second].into_iter(), ["open", "watch"].into_iter());
         for turn in 0..4 {
-            let step = if order >> turn & 1 == 1 { ending.next() } else { opening.next() };
+            let step = if order >> turn & 1 == 1 { closing_steps.next() } else { opening_steps.next() };
             match step.expect("two each") {
                 "unwatch" => watched[0] = false,
-                // The system ends the watch of what is closed.
+                // The system ends the watch of a closed descriptor.
                 "close" => (open[0], watched[0]) = (false, false),
                 "open" => {
-                    mine = usize::from(open[0]);
-                    open[mine] = true;
+                    new_fd = usize::from(open[0]);
+                    open[new_fd] = true;
                 }
-                _ => watched[mine] = true,
+                _ => watched[new_fd] = true,
             }
         }
-        watched[mine]
+        watched[new_fd]
     })
 }
 
 #[test]
 fn what_is_opened_while_another_closes_is_watched_in_every_order() {
     assert!(watched_in_every_order(true));
-    assert!(!watched_in_every_order(false), "planted: the order of the library's own type");
+    assert!(!watched_in_every_order(false), "planted fault: the order of the library's own type");
 }
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The whole of it on the loopback address: a desk that passes what it is asked to one server, by a wire that
-//! knows answers by their id. All waits are bounded.
+//! Pools and listeners over sockets on the loopback address. The test plays the server and the clients, and answers the
+//! handler's requests. Answers are matched to attempts by an id. All waits are bounded.
 
 use may::io::CoIo;
 use net::Micros;
@@ -18,28 +18,29 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
+/// Limit of each wait.
 const WAIT: Duration = Duration::from_secs(10);
 const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 32 * 1024 * 1024 };
 
-/// Each test has its own: where one takes all descriptors, the answers of others would end their connections.
-fn room() -> Arc<Resources> {
-    room_of(4000)
+/// Each test has its own resources: if one test took all descriptors, answers of the others would close connections.
+fn resources() -> Arc<Resources> {
+    resources_with(4000)
 }
 
-fn room_of(sockets: usize) -> Arc<Resources> {
+fn resources_with(sockets: usize) -> Arc<Resources> {
     net::set_up();
     let clock = Clock::start();
     let alarms = Alarms::start(clock).expect("a timer");
     Arc::new(Resources::new(sockets, 1024, clock, alarms, Box::new(|what| eprintln!("{what}"))))
 }
 
-// ---- the wire, alone ----
+// ---- the pool alone ----
 
-/// Passes on what has ended.
+/// Matches answers by `X-Id`, and sends outcomes to the test.
 struct ById {
-    told: Mutex<Sender<Ended<ById>>>,
-    /// Called first, before anything is passed on.
-    first: OnceLock<Box<dyn Fn() + Send + Sync>>,
+    outcomes: Mutex<Sender<Ended<ById>>>,
+    /// Called before each outcome is sent.
+    before: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
 impl Wire for ById {
@@ -51,15 +52,15 @@
     }
 
     fn response_head(&self, job: &Job<Vec<u8>>, head: &http::Response) -> pool::ResponseMatch<()> {
-        let mine = http::header(head.headers, "X-Id") == Some(&job.note);
-        if mine { pool::ResponseMatch::Expected(()) } else { pool::ResponseMatch::Surplus }
+        let expected = http::header(head.headers, "X-Id") == Some(&job.note);
+        if expected { pool::ResponseMatch::Expected(()) } else { pool::ResponseMatch::Surplus }
     }
 
     fn ended(&self, ended: Ended<ById>) {
-        if let Some(first) = self.first.get() {
-            first();
+        if let Some(before) = self.before.get() {
+            before();
         }
-        let _ = self.told.lock().expect("whole").send(ended);
+        let _ = self.outcomes.lock().expect("not poisoned").send(ended);
     }
 }
 
@@ -74,7 +75,7 @@
 impl Server {
     fn start() -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (told, ended) = channel();
+        let (outcomes, ended) = channel();
         let settings = Settings {
             dial_us: 5_000_000,
             answer_us: 5_000_000,
@@ -84,10 +85,10 @@
             bounds: BOUNDS,
         };
         let addr = listener.local_addr().expect("bound");
-        let wire = Arc::new(ById { told: Mutex::new(told), first: OnceLock::new() });
-        let room = room();
-        let clock = room.clock;
-        let peer = Peer::start(addr, room, wire.clone(), settings);
+        let wire = Arc::new(ById { outcomes: Mutex::new(outcomes), before: OnceLock::new() });
+        let resources = resources();
+        let clock = resources.clock;
+        let peer = Peer::start(addr, resources, wire.clone(), settings);
         Server { listener, peer, wire, clock, ended }
     }
 
@@ -106,7 +107,7 @@
     }
 
     fn ended(&self) -> Ended<ById> {
-        self.ended.recv_timeout(WAIT).expect("told")
+        self.ended.recv_timeout(WAIT).expect("an outcome")
     }
 
     fn served(&self) -> (u64, Vec<u8>) {
@@ -128,7 +129,7 @@
     }
 }
 
-/// A head and its body of the length that it tells; None at the end.
+/// Reads a head, and a body of the length in the head; None at the end of the connection.
 fn message(from: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let (mut head, mut body) = (String::new(), Vec::new());
     while !head.ends_with("\r\n\r\n") {
@@ -142,7 +143,7 @@
     Some((head, body))
 }
 
-fn say(conn: &BufReader<TcpStream>, bytes: impl AsRef<[u8]>) {
+fn write(conn: &BufReader<TcpStream>, bytes: impl AsRef<[u8]>) {
     conn.get_ref().write_all(bytes.as_ref()).expect("taken");
 }
 
@@ -156,42 +157,42 @@
     server.send(1, Vec::new());
     let mut conn = server.accept();
     message(&mut conn).expect("a request");
-    say(&conn, answer(1, "one"));
+    write(&conn, answer(1, "one"));
     assert_eq!(server.served(), (1, b"one".to_vec()));
     server.send(2, Vec::new());
     message(&mut conn).expect("a request on the same connection");
-    say(&conn, answer(1, "one once more"));
-    say(&conn, answer(2, "two"));
+    write(&conn, answer(1, "one once more"));
+    write(&conn, answer(2, "two"));
     assert_eq!(server.served(), (2, b"two".to_vec()));
     assert!(message(&mut conn).is_none(), "ended");
     server.send(3, Vec::new());
     let mut conn = server.accept();
     message(&mut conn).expect("a request");
-    // Nothing but an answer to another: this attempt has had none.
-    say(&conn, answer(2, "two once more"));
+    // Only an answer to another request comes, so this attempt has no answer.
+    write(&conn, answer(2, "two once more"));
     drop(conn);
     let error = server.ended().outcome.err().expect("no answer");
     assert_eq!(error.progress, Progress::Written);
 }
 
-/// The next is sent while the wire is being told of the answer, on the coroutines' own thread: no order comes
-/// before that one.
+/// The next attempt is sent from within the report of the answer, on the coroutines' own thread: it can't be sent any
+/// earlier.
 #[test]
 fn what_is_sent_as_soon_as_an_answer_is_known_goes_over_the_same_connection() {
     let server = Server::start();
     let (peer, clock, sent) = (server.peer.clone(), server.clock, AtomicBool::new(false));
-    let first = Box::new(move || {
+    let before = Box::new(move || {
         if !sent.swap(true, Ordering::Relaxed) {
             assert!(peer.send(job(clock, "POST", 2, Vec::new())));
         }
     });
-    assert!(server.wire.first.set(first).is_ok());
+    assert!(server.wire.before.set(before).is_ok());
     server.send(1, Vec::new());
     let mut conn = server.accept();
     message(&mut conn).expect("a request");
-    say(&conn, answer(1, "one"));
+    write(&conn, answer(1, "one"));
     message(&mut conn).expect("a request on the same connection");
-    say(&conn, answer(2, "two"));
+    write(&conn, answer(2, "two"));
     assert_eq!((server.served(), server.served()), ((1, b"one".to_vec()), (2, b"two".to_vec())));
     server.listener.set_nonblocking(true).expect("an option");
     assert!(
@@ -207,7 +208,7 @@
     let mut conn = server.accept();
     message(&mut conn).expect("a request");
     let whole = answer(1, &"x".repeat(1_000_000));
-    say(&conn, &whole.as_bytes()[..whole.len() - 1]);
+    write(&conn, &whole.as_bytes()[..whole.len() - 1]);
     drop(conn);
     let error = server.ended().outcome.err().expect("no whole answer");
     assert_eq!(error.progress, Progress::Answering);
@@ -223,30 +224,30 @@
     let (head, body) = message(&mut conn).expect("a request");
     assert!(head.contains("X-Id: 1\r\nContent-Length: 20000000\r\n"), "{head}");
     assert!(body == large);
-    say(&conn, format!("HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: {}\r\n\r\n", body.len()));
-    say(&conn, &body);
+    write(&conn, format!("HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: {}\r\n\r\n", body.len()));
+    write(&conn, &body);
     assert!(server.served() == (1, large));
     server.send_by("HEAD", 2, Vec::new());
     let (head, _) = message(&mut conn).expect("a request");
     assert!(!head.contains("Content-Length"), "{head}");
-    say(&conn, "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 500\r\n\r\n");
+    write(&conn, "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 500\r\n\r\n");
     assert_eq!(server.served(), (2, Vec::new()));
 }
 
-// ---- the door, alone ----
+// ---- the listener alone ----
 
-/// Hands requests to the test, which answers them.
-struct Hand {
-    asked: Mutex<Sender<(String, BufferedBody, Reply)>>,
-    withdrawn: Mutex<Sender<u64>>,
+/// Passes requests to the test, which answers them.
+struct ManualHandler {
+    requests: Mutex<Sender<(String, BufferedBody, Reply)>>,
+    gone: Mutex<Sender<u64>>,
     draining: AtomicBool,
     idle_us: AtomicU64,
     read_us: AtomicU64,
-    /// Called whenever it is asked for its patience.
-    asked_patience: OnceLock<Box<dyn Fn() + Send + Sync>>,
+    /// Called whenever the timeouts are read.
+    on_timeouts: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
-impl Handler for Hand {
+impl Handler for ManualHandler {
     type Request = String;
 
     fn bounds(&self) -> Bounds {
@@ -254,7 +255,7 @@
     }
 
     fn timeouts(&self) -> ClientTimeouts {
-        if let Some(call) = self.asked_patience.get() {
+        if let Some(call) = self.on_timeouts.get() {
             call();
         }
         let (idle_us, read_us) = (self.idle_us.load(Ordering::Relaxed), self.read_us.load(Ordering::Relaxed));
@@ -275,12 +276,12 @@
         }
     }
 
-    fn handle(&self, _: u64, ask: String, body: BufferedBody, reply: Reply) {
-        let _ = self.asked.lock().expect("whole").send((ask, body, reply));
+    fn handle(&self, _: u64, request: String, body: BufferedBody, reply: Reply) {
+        let _ = self.requests.lock().expect("not poisoned").send((request, body, reply));
     }
 
     fn client_gone(&self, id: u64) {
-        let _ = self.withdrawn.lock().expect("whole").send(id);
+        let _ = self.gone.lock().expect("not poisoned").send(id);
     }
 
     fn draining(&self) -> bool {
@@ -292,97 +293,97 @@
     }
 }
 
-struct Open {
-    room: Arc<Resources>,
-    desk: Arc<Hand>,
+struct ListenerTest {
+    resources: Arc<Resources>,
+    handler: Arc<ManualHandler>,
     addr: SocketAddr,
-    asked: Receiver<(String, BufferedBody, Reply)>,
-    withdrawn: Receiver<u64>,
+    requests: Receiver<(String, BufferedBody, Reply)>,
+    gone: Receiver<u64>,
 }
 
-fn open() -> Open {
-    open_held().0
+fn start_test() -> ListenerTest {
+    start_listener().0
 }
 
-/// With the door itself.
-fn open_held() -> (Open, Arc<Listener<Hand>>) {
-    open_held_in(room())
+/// Also returns the listener itself.
+fn start_listener() -> (ListenerTest, Arc<Listener<ManualHandler>>) {
+    start_listener_with(resources())
 }
 
-fn open_held_in(room: Arc<Resources>) -> (Open, Arc<Listener<Hand>>) {
-    let ((tell, asked), (tell_gone, withdrawn)) = (channel(), channel());
-    let desk = Hand {
-        asked: Mutex::new(tell),
-        withdrawn: Mutex::new(tell_gone),
+fn start_listener_with(resources: Arc<Resources>) -> (ListenerTest, Arc<Listener<ManualHandler>>) {
+    let ((request_sender, requests), (gone_sender, gone)) = (channel(), channel());
+    let handler = ManualHandler {
+        requests: Mutex::new(request_sender),
+        gone: Mutex::new(gone_sender),
         draining: AtomicBool::new(false),
         idle_us: AtomicU64::new(30_000_000),
         read_us: AtomicU64::new(30_000_000),
-        asked_patience: OnceLock::new(),
+        on_timeouts: OnceLock::new(),
     };
-    let desk = Arc::new(desk);
+    let handler = Arc::new(handler);
     let any = "127.0.0.1:0".parse().expect("an address");
-    let door = Listener::start(any, room.clone(), desk.clone()).expect("a port");
-    (Open { room, desk, addr: door.addr(), asked, withdrawn }, door)
+    let listener = Listener::start(any, resources.clone(), handler.clone()).expect("a port");
+    (ListenerTest { resources, handler, addr: listener.addr(), requests, gone }, listener)
 }
 
-impl Open {
+impl ListenerTest {
     fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.addr).expect("connects");
         stream.set_read_timeout(Some(WAIT)).expect("an option");
         BufReader::new(stream)
     }
 
-    fn asked(&self) -> (String, BufferedBody, Reply) {
-        self.asked.recv_timeout(WAIT).expect("a request")
+    fn request(&self) -> (String, BufferedBody, Reply) {
+        self.requests.recv_timeout(WAIT).expect("a request")
     }
 }
 
 #[test]
 fn requests_sent_ahead_are_answered_in_their_order() {
-    let door = open();
-    let mut client = door.connect();
+    let test = start_test();
+    let mut client = test.connect();
     let get = |target: &str| format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n");
-    say(&client, [get("/1"), get("/now"), get("/2")].concat());
+    write(&client, [get("/1"), get("/now"), get("/2")].concat());
     for (target, status) in [("/1", 200), ("/2", 503)] {
-        let (asked, _, reply) = door.asked();
-        assert_eq!(asked, target);
+        let (request, _, reply) = test.request();
+        assert_eq!(request, target);
         reply.send(Answer::text(status, target));
     }
     let answers: Vec<Vec<u8>> = (0..3).map(|_| message(&mut client).expect("an answer").1).collect();
     assert_eq!(answers, [b"/1".to_vec(), b"now".to_vec(), b"/2".to_vec()]);
-    say(&client, get("/lost"));
-    drop(door.asked());
+    write(&client, get("/lost"));
+    drop(test.request());
     assert!(message(&mut client).expect("an answer").0.starts_with("HTTP/1.1 502 "));
-    say(&client, get("/left"));
-    let (_, _, reply) = door.asked();
+    write(&client, get("/left"));
+    let (_, _, reply) = test.request();
     drop(client);
-    door.withdrawn.recv_timeout(WAIT).expect("told");
+    test.gone.recv_timeout(WAIT).expect("reported");
     reply.send(Answer::text(200, "to nobody"));
 }
 
-/// Descriptors run short between a request and its answer: what was sent ahead is left to be asked again.
+/// Descriptors run short between a request and its answer: the client has to send the pipelined request again.
 #[test]
 fn an_answer_where_descriptors_are_short_ends_its_connection_before_what_was_sent_ahead() {
-    let door = open();
-    let mut client = door.connect();
-    say(&client, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
-    let (_, _, reply) = door.asked();
-    let fds = &door.room.fds;
-    let held: Vec<Fd> =
+    let test = start_test();
+    let mut client = test.connect();
+    write(&client, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
+    let (_, _, reply) = test.request();
+    let fds = &test.resources.fds;
+    let taken: Vec<Fd> =
         std::iter::from_fn(|| (!fds.short()).then(|| fds.take(ConnectionKind::Client))?).collect();
-    assert!(fds.short() && !held.is_empty());
+    assert!(fds.short() && !taken.is_empty());
     reply.send(Answer::text(200, "one"));
     let (head, body) = message(&mut client).expect("an answer");
     assert!(head.contains("Connection: close") && body == b"one", "{head}");
     assert_eq!(client.read(&mut [0]).expect("ended"), 0);
-    assert!(door.asked.try_recv().is_err(), "not asked");
+    assert!(test.requests.try_recv().is_err(), "not handled");
 }
 
 #[test]
 fn bodies_of_both_kinds_come_whole_and_large_answers_leave_whole() {
-    let door = open();
+    let test = start_test();
     let large: Vec<u8> = (0..9_000_000_u32).map(|n| (n % 253) as u8).collect();
-    let mut client = door.connect();
+    let mut client = test.connect();
     let mut chunked = b"POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
     for chunk in large.chunks(100_000) {
         chunked.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -390,20 +391,20 @@
         chunked.extend_from_slice(b"\r\n");
     }
     chunked.extend_from_slice(b"0\r\n\r\n");
-    say(&client, chunked);
-    say(&client, format!("POST /l HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", large.len()));
+    write(&client, chunked);
+    write(&client, format!("POST /l HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", large.len()));
     let mut writer = client.get_ref().try_clone().expect("a handle");
     let sent = large.clone();
     let sending = std::thread::spawn(move || writer.write_all(&sent).expect("taken"));
     for _ in 0..2 {
-        let (_, body, reply) = door.asked();
+        let (_, body, reply) = test.request();
         assert!(body.bytes == large);
         reply.send(Answer::new(200, Vec::new(), body.bytes));
         assert!(message(&mut client).expect("an answer").1 == large);
     }
     sending.join().expect("sent");
-    say(&client, "HEAD /h HTTP/1.1\r\nHost: x\r\n\r\nGET /bad HTTP/1.1\r\nHost: x\r\n\r\n");
-    door.asked().2.send(Answer::text(200, "unseen"));
+    write(&client, "HEAD /h HTTP/1.1\r\nHost: x\r\n\r\nGET /bad HTTP/1.1\r\nHost: x\r\n\r\n");
+    test.request().2.send(Answer::text(200, "unseen"));
     let mut rest = String::new();
     client.read_to_string(&mut rest).expect("up to the end");
     let (head, after) = rest.split_once("\r\n\r\n").expect("a head");
@@ -412,18 +413,18 @@
 }
 
 #[test]
-fn half_a_request_is_told_so_and_a_draining_desk_parts_with_all() {
-    let door = open();
-    door.desk.read_us.store(200_000, Ordering::Relaxed);
-    let mut half = door.connect();
-    say(&half, "GET /half HTTP/1.1\r\n");
+fn half_a_request_is_answered_408_and_a_draining_handler_closes_all_connections() {
+    let test = start_test();
+    test.handler.read_us.store(200_000, Ordering::Relaxed);
+    let mut half = test.connect();
+    write(&half, "GET /half HTTP/1.1\r\n");
     assert!(message(&mut half).expect("an answer").0.starts_with("HTTP/1.1 408 "));
-    let (mut idle, mut busy) = (door.connect(), door.connect());
-    say(&idle, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n");
+    let (mut idle, mut busy) = (test.connect(), test.connect());
+    write(&idle, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n");
     message(&mut idle).expect("an answer");
-    say(&busy, "GET /busy HTTP/1.1\r\nHost: x\r\n\r\n");
-    let (_, _, reply) = door.asked();
-    door.desk.draining.store(true, Ordering::Relaxed);
+    write(&busy, "GET /busy HTTP/1.1\r\nHost: x\r\n\r\n");
+    let (_, _, reply) = test.request();
+    test.handler.draining.store(true, Ordering::Relaxed);
     assert!(message(&mut idle).is_none(), "closed");
     reply.send(Answer::text(200, "still"));
     let (head, body) = message(&mut busy).expect("an answer");
@@ -432,99 +433,99 @@
 }
 
 #[test]
-fn a_door_that_is_shut_takes_what_had_come_and_nobody_after() {
-    let (door, held) = open_held();
-    let mut early = door.connect();
-    say(&early, "GET /early HTTP/1.1\r\nHost: x\r\n\r\n");
-    let (_, _, reply) = door.asked();
-    held.stop_accepting();
-    // Refused, or ended unread, once the listener is gone; until then it is served like any other.
+fn a_stopped_listener_serves_connections_that_had_come_and_no_later_ones() {
+    let (test, listener) = start_listener();
+    let mut early = test.connect();
+    write(&early, "GET /early HTTP/1.1\r\nHost: x\r\n\r\n");
+    let (_, _, reply) = test.request();
+    listener.stop_accepting();
+    // Once the listening socket is closed, connections are refused or reset; until then they are served as usual.
     let mut late = Vec::new();
-    while let Ok(stream) = TcpStream::connect(door.addr) {
+    while let Ok(stream) = TcpStream::connect(test.addr) {
         late.push(stream);
-        assert!(late.len() < 100_000, "the door stays open");
+        assert!(late.len() < 100_000, "the listener stays open");
     }
-    // The early one, and what the system lets wait.
-    assert!(held.count() <= 1 + 1025, "{} taken", held.count());
+    // The early one, and those that may wait in the backlog.
+    assert!(listener.count() <= 1 + 1025, "{} accepted", listener.count());
     reply.send(Answer::text(200, "still"));
     assert_eq!(message(&mut early).expect("an answer").1, b"still");
-    say(&early, "GET /more HTTP/1.1\r\nHost: x\r\n\r\n");
-    door.asked().2.send(Answer::text(200, "more"));
-    assert_eq!(message(&mut early).expect("an answer").1, b"more", "who is in stays in");
+    write(&early, "GET /more HTTP/1.1\r\nHost: x\r\n\r\n");
+    test.request().2.send(Answer::text(200, "more"));
+    assert_eq!(message(&mut early).expect("an answer").1, b"more", "an open connection is still served");
     drop((early, late));
     let until = std::time::Instant::now() + WAIT;
-    while held.count() > 0 {
+    while listener.count() > 0 {
         assert!(std::time::Instant::now() < until, "all have left");
         std::thread::yield_now();
     }
 }
 
-/// Where descriptors are short the desk is asked for its patience with each connection that is taken. Here it
-/// shuts the door, and begins to connect once more each time: there is always one that waits to be taken.
+/// When descriptors are short, the handler's timeouts are read for each accepted connection. Here each such call stops
+/// the listener and begins another connection, so that one is always waiting to be accepted.
 #[test]
-fn a_door_that_is_shut_is_not_held_open_by_those_who_go_on_connecting() {
-    let (door, held) = open_held_in(room_of(40_000));
-    let fds = &door.room.fds;
-    let leaves: Vec<Fd> =
+fn a_stopped_listener_is_not_kept_open_by_clients_that_go_on_connecting() {
+    let (test, listener) = start_listener_with(resources_with(40_000));
+    let fds = &test.resources.fds;
+    let taken: Vec<Fd> =
         std::iter::from_fn(|| (!fds.short()).then(|| fds.take(ConnectionKind::Client))?).collect();
-    let (begun, addr) = (Arc::new(Mutex::new(Vec::new())), door.addr);
+    let (begun, addr) = (Arc::new(Mutex::new(Vec::new())), test.addr);
     let more = begun.clone();
     let call = Box::new(move || {
-        held.stop_accepting();
+        listener.stop_accepting();
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.set_nonblocking(true).expect("an option");
         let _ = socket.connect(&addr.into());
-        more.lock().expect("whole").push(socket);
+        more.lock().expect("not poisoned").push(socket);
     });
-    assert!(door.desk.asked_patience.set(call).is_ok());
+    assert!(test.handler.on_timeouts.set(call).is_ok());
     let until = std::time::Instant::now() + WAIT;
     let refused = |e: std::io::Error| e.kind() == ErrorKind::ConnectionRefused;
     while !TcpStream::connect_timeout(&addr, WAIT).is_err_and(refused) {
-        assert!(std::time::Instant::now() < until, "the door stays open");
+        assert!(std::time::Instant::now() < until, "the listener stays open");
     }
-    let begun = begun.lock().expect("whole").len();
-    // Each that is taken asks once or twice, as it comes and as it ends: 1025 may have waited.
-    assert!(begun <= 2500, "{begun} after it was shut");
-    drop(leaves);
+    let begun = begun.lock().expect("not poisoned").len();
+    // The timeouts are read once or twice for each accepted connection, at its start and its end; 1025 may have waited.
+    assert!(begun <= 2500, "{begun} after it was stopped");
+    drop(taken);
 }
 
 #[test]
 fn a_cut_answer_cannot_pass_for_whole_and_a_paced_one_comes_whole() {
-    let door = open();
+    let test = start_test();
     let get = |target: &str| format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n");
-    let mut client = door.connect();
-    say(&client, [get("/slow"), get("/next")].concat());
+    let mut client = test.connect();
+    write(&client, [get("/slow"), get("/next")].concat());
     let body: Vec<u8> = (0..1000_u32).map(|n| (n % 251) as u8).collect();
-    door.asked().2.send(Answer { pace_us: 80_000, ..Answer::new(200, Vec::new(), body.clone()) });
-    door.asked().2.send(Answer::text(200, "next"));
+    test.request().2.send(Answer { pace_us: 80_000, ..Answer::new(200, Vec::new(), body.clone()) });
+    test.request().2.send(Answer::text(200, "next"));
     assert!(message(&mut client).expect("an answer").1 == body);
     assert_eq!(message(&mut client).expect("an answer").1, b"next");
-    say(&client, get("/cut"));
-    door.asked().2.send(Answer { cut: true, ..Answer::new(200, Vec::new(), body.clone()) });
+    write(&client, get("/cut"));
+    test.request().2.send(Answer { cut: true, ..Answer::new(200, Vec::new(), body.clone()) });
     let mut rest = Vec::new();
     client.read_to_end(&mut rest).expect("up to the end");
     let rest = String::from_utf8_lossy(&rest).into_owned();
     let (head, half) = rest.split_once("\r\n\r\n").expect("a head");
     assert!(head.contains("Content-Length: 1000") && half.len() < 1000, "{head}");
-    let mut client = door.connect();
-    say(&client, get("/closed"));
-    door.asked().2.send(Answer { cut: true, ..Answer::new(200, Vec::new(), Vec::new()) });
+    let mut client = test.connect();
+    write(&client, get("/closed"));
+    test.request().2.send(Answer { cut: true, ..Answer::new(200, Vec::new(), Vec::new()) });
     assert_eq!(client.read_to_end(&mut Vec::new()).expect("up to the end"), 0);
 }
 
-// ---- where the system's word is lost all the same ----
+// ---- if an event is lost all the same ----
 
-struct Number(RawFd);
+struct RawDescriptor(RawFd);
 
-impl AsRawFd for Number {
+impl AsRawFd for RawDescriptor {
     fn as_raw_fd(&self) -> RawFd {
         self.0
     }
 }
 
-/// What the system tells of this program's socket at `at` whose other end is at `from`.
-fn row(at: SocketAddr, from: SocketAddr) -> Vec<String> {
+/// The row of /proc/net/tcp for this program's socket at `at` whose other end is at `from`.
+fn socket_row(at: SocketAddr, from: SocketAddr) -> Vec<String> {
     let hex = |addr: SocketAddr| match addr {
         SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from_ne_bytes(v4.ip().octets()), v4.port()),
         SocketAddr::V6(_) => unreachable!("loopback"),
@@ -534,46 +535,46 @@
     rows.find(|r| r[1] == hex(at) && r[2] == hex(from)).expect("that one")
 }
 
-/// Ends the watch of that socket: from here on its actor hears of nothing but its bell.
-fn deafen(at: SocketAddr, from: SocketAddr) {
-    let link = format!("socket:[{}]", row(at, from)[9]);
+/// Ends the event loop's watch of that socket: from here on its coroutine is woken only by its waker.
+fn stop_watching(at: SocketAddr, from: SocketAddr) {
+    let link = format!("socket:[{}]", socket_row(at, from)[9]);
     let mut fds = std::fs::read_dir("/proc/self/fd").expect("descriptors").flatten();
     let fd = fds.find(|e| std::fs::read_link(e.path()).is_ok_and(|to| to.as_os_str() == link.as_str()));
     let number = fd.expect("open").file_name().into_string().expect("a number").parse().expect("a number");
-    // Watched already, it is refused, and what was made for it ends the watch as it is dropped.
-    assert!(CoIo::new(Number(number)).is_err());
+    // This fails, as the descriptor is watched already; dropping what was created for it ends the watch.
+    assert!(CoIo::new(RawDescriptor(number)).is_err());
 }
 
-/// Until so many bytes lie there unread.
-fn lie_unread(at: SocketAddr, from: SocketAddr, bytes: usize) {
+/// Waits until so many bytes have come and are unread.
+fn wait_for_unread(at: SocketAddr, from: SocketAddr, bytes: usize) {
     let until = std::time::Instant::now() + WAIT;
-    let unread = || usize::from_str_radix(&row(at, from)[4][9..], 16).expect("a number");
+    let unread = || usize::from_str_radix(&socket_row(at, from)[4][9..], 16).expect("a number");
     while unread() != bytes {
-        assert!(std::time::Instant::now() < until, "they have come and were not read");
+        assert!(std::time::Instant::now() < until, "the bytes have come and are unread");
         std::thread::yield_now();
     }
 }
 
-/// Bound: the time that the desk leaves idle connections, and a look.
+/// The delay is bounded by the idle timeout and the interval of the listener's sweeps.
 #[test]
 fn a_request_that_no_event_tells_of_is_served_when_its_connection_is_looked_at() {
-    let door = open();
-    let mut client = door.connect();
-    say(&client, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n");
+    let test = start_test();
+    let mut client = test.connect();
+    write(&client, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n");
     message(&mut client).expect("an answer");
-    let (at, from) = (door.addr, client.get_ref().local_addr().expect("bound"));
-    deafen(at, from);
+    let (at, from) = (test.addr, client.get_ref().local_addr().expect("bound"));
+    stop_watching(at, from);
     let request = "GET /late HTTP/1.1\r\nHost: x\r\n\r\n";
-    say(&client, request);
-    lie_unread(at, from, request.len());
-    door.desk.idle_us.store(1, Ordering::Relaxed);
-    let (asked, _, reply) = door.asked();
-    door.desk.idle_us.store(30_000_000, Ordering::Relaxed);
+    write(&client, request);
+    wait_for_unread(at, from, request.len());
+    test.handler.idle_us.store(1, Ordering::Relaxed);
+    let (request, _, reply) = test.request();
+    test.handler.idle_us.store(30_000_000, Ordering::Relaxed);
     reply.send(Answer::text(200, "late"));
-    assert_eq!((asked.as_str(), message(&mut client).expect("an answer").1), ("/late", b"late".to_vec()));
+    assert_eq!((request.as_str(), message(&mut client).expect("an answer").1), ("/late", b"late".to_vec()));
 }
 
-/// Bound: the time of the attempt, which whoever sent it keeps.
+/// The delay is bounded by the deadline of the attempt, which is enforced by its sender.
 #[test]
 fn an_attempt_whose_answer_no_event_tells_of_can_be_given_up() {
     let server = Server::start();
@@ -582,16 +583,16 @@
     message(&mut conn).expect("a request");
     let (at, from) =
         (conn.get_ref().peer_addr().expect("bound"), server.listener.local_addr().expect("bound"));
-    deafen(at, from);
-    say(&conn, answer(1, "one"));
-    lie_unread(at, from, answer(1, "one").len());
+    stop_watching(at, from);
+    write(&conn, answer(1, "one"));
+    wait_for_unread(at, from, answer(1, "one").len());
     server.peer.give_up(1, 0, None);
-    // With an answer unread it ends by a reset.
+    // As an answer is unread, the connection ends with a reset.
     let end = conn.read(&mut [0]);
     assert!(matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
     server.send(2, Vec::new());
     let mut conn = server.accept();
     message(&mut conn).expect("a request on another connection");
-    say(&conn, answer(2, "two"));
+    write(&conn, answer(2, "two"));
     assert_eq!(server.served(), (2, b"two".to_vec()));
 }
