--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,7 +1,7 @@
 //! A listener and its client connections: one actor that accepts, and one coroutine for each connection. A
-//! well-formed request is passed to the listener's [`Handler`], which answers it once. Malformed requests are answered
-//! here and never reach the handler. A connection has one request under way at a time, unless the handler allows
-//! pipelining.
+//! well-formed request is passed to the listener's [`Handler`], which answers it once. Malformed requests are
+//! answered here and never reach the handler. A connection has one request under way at a time, unless the handler
+//! allows pipelining.
 
 mod connection;
 #[cfg(test)]
@@ -41,8 +41,8 @@
     /// Called with each complete request. `id` is unique among all listeners that share one `Resources`.
     fn handle(&self, id: u64, request: Self::Request, body: BufferedBody, reply: Reply);
 
-    /// How many pipelined requests of one connection may be under way at once, if they are GET or HEAD without a body.
-    /// Other requests are always handled one at a time.
+    /// How many pipelined requests of one connection may be under way at once, if they are GET or HEAD without a
+    /// body. Other requests are always handled one at a time.
     fn max_pipelined(&self) -> usize {
         1
     }
@@ -53,8 +53,8 @@
     /// While true, each answer closes its connection, and idle connections are closed after half a second.
     fn draining(&self) -> bool;
 
-    /// The answer to a request that the listener itself refuses: malformed, too large, too slow (408), over the limits
-    /// on memory or descriptors (503), or dropped without an answer (500, 502).
+    /// The answer to a request that the listener itself refuses: malformed, too large, too slow (408), over the
+    /// limits on memory or descriptors (503), or dropped without an answer (500, 502).
     fn refusal(&self, bad: &Bad) -> Answer;
 
     /// The error sent on a connection that is closed before its first request, if any.
@@ -144,8 +144,8 @@
 /// with each 64 KB transferred.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
-    /// Time from the connection's start until its first request is complete. None: `idle_us` and `read_us` apply, as to
-    /// later requests.
+    /// Time from the connection's start until its first request is complete. None: `idle_us` and `read_us` apply, as
+    /// to later requests.
     pub first_request_us: Option<Micros>,
     /// Time for a request to be complete once a part of it has come.
     pub read_us: Micros,
@@ -298,7 +298,8 @@
 const SHORT_IDLE_US: Micros = 2_000_000;
 /// When descriptors are short, a connection with half a request may be closed after this time.
 const SHORT_READ_US: Micros = 1_000_000;
-/// While the handler drains, connections that are idle for this time are closed. The others are closed with an answer.
+/// While the handler drains, connections that are idle for this time are closed. The others are closed with an
+/// answer.
 const DRAIN_IDLE_US: Micros = 500_000;
 /// Interval of the sweeps over all connections.
 const SWEEP_INTERVAL_US: Micros = 100_000;
@@ -429,9 +430,9 @@
         }
     }
 
-    /// Closes the open connection that is most suitable, if there is one, to free its descriptor. A connection without
-    /// a request is closed sooner for a complete request (`for_request`) than for a new connection, which may never
-    /// bring a request either.
+    /// Closes the open connection that is most suitable, if there is one, to free its descriptor. A connection
+    /// without a request is closed sooner for a complete request (`for_request`) than for a new connection, which may
+    /// never bring a request either.
     fn evict_one(&self, for_request: bool) -> bool {
         let first_request_us = if for_request { URGENT_FIRST_REQUEST_US } else { SHORT_FIRST_REQUEST_US };
         let (open, now) = (self.open(), self.resources.clock.now());
--- a/crates/net/src/listener/connection.rs
+++ b/crates/net/src/listener/connection.rs
@@ -153,9 +153,9 @@
     }
 
     /// Closes the connection so that the last answer reaches the client: closing with unread bytes would reset the
-    /// connection, and the answer could be lost. So this side is shut down first, and then the client's end is awaited
-    /// for a short while; for longer while it still sends. As some clients send at full speed and without end, reading
-    /// takes breaks for the other connections.
+    /// connection, and the answer could be lost. So this side is shut down first, and then the client's end is
+    /// awaited for a short while; for longer while it still sends. As some clients send at full speed and without
+    /// end, reading takes breaks for the other connections.
     fn linger(&mut self) {
         if self.io.inner().shutdown(Shutdown::Write).is_err() {
             return;
@@ -280,9 +280,9 @@
         Next::Wait
     }
 
-    /// The error to send if the connection is closed now, before its first request. That request may be on its way, and
-    /// without an answer its client could not tell whether it was received; it takes this error as the answer. This
-    /// could harm clients that treat bytes they did not ask for as an error.
+    /// The error to send if the connection is closed now, before its first request. That request may be on its way,
+    /// and without an answer its client could not tell whether it was received; it takes this error as the answer.
+    /// This could harm clients that treat bytes they did not ask for as an error.
     fn error_on_close(&self, state: State) -> Option<Bad> {
         let (now, timeouts) = (self.listener.resources.clock.now(), self.listener.handler.timeouts());
         let expected = state == State::Idle && self.connection.awaits_first_request(now, &timeouts);
@@ -482,9 +482,9 @@
 
     /// Passes a complete request to the handler, unless it is answered already.
     fn pass_to_handler(&mut self, part: PartialRequest<H::Request>) {
-        // When only the descriptors for refusing requests are left, the first request of a connection is served only if
-        // another connection can be closed for it: hundreds of silent connections must not keep out a client that has a
-        // request. Later requests on a connection are always served.
+        // When only the descriptors for refusing requests are left, the first request of a connection is served only
+        // if another connection can be closed for it: hundreds of silent connections must not keep out a client that
+        // has a request. Later requests on a connection are always served.
         let first = self.connection.request_count.fetch_add(1, Ordering::Relaxed) == 0;
         let mut pending = part.pending;
         self.no_more_requests |= pending.last;
@@ -543,8 +543,8 @@
             return;
         }
         let (fds, status) = (&self.listener.resources.fds, answer.status);
-        // A connection with several requests is closed last, and only now and then one, as its client would only have to
-        // connect again.
+        // A connection with several requests is closed last, and only now and then one, as its client would only have
+        // to connect again.
         let evict = if self.connection.request_count() < 2 {
             fds.short() || !self.listener.may_stay_after_one()
         } else {
--- a/crates/net/src/listener/model.rs
+++ b/crates/net/src/listener/model.rs
@@ -1,6 +1,6 @@
 //! Model test of one client connection with a handler that answers in any order. Small cases run in all possible
-//! sequences of events, larger ones in random sequences. Input may be split at any byte; answers may fail, be cut or end
-//! the connection; the client may close its side, and the handler may drain, at any step.
+//! sequences of events, larger ones in random sequences. Input may be split at any byte; answers may fail, be cut or
+//! end the connection; the client may close its side, and the handler may drain, at any step.
 
 #[path = "../../tests/common/tape.rs"]
 mod tape;
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -2,8 +2,8 @@
 //! each connection has a coroutine that carries one attempt at a time. The outcome of an attempt is reported to the
 //! [`Wire`] once.
 //!
-//! The pool does not retry. Only an attempt of which no byte was written, on a connection that had died while idle, moves
-//! to another connection: the server cannot have seen any of it.
+//! The pool does not retry. Only an attempt of which no byte was written, on a connection that had died while idle,
+//! moves to another connection: the server cannot have seen any of it.
 
 mod connection;
 pub mod exchange;
@@ -21,9 +21,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The program's part of the protocol with servers: it writes the headers of each attempt, reads the heads of answers,
-/// and gets the outcomes of attempts. One instance can serve all servers of a kind. All calls are made on the
-/// coroutines' thread.
+/// The program's part of the protocol with servers: it writes the headers of each attempt, reads the heads of
+/// answers, and gets the outcomes of attempts. One instance can serve all servers of a kind. All calls are made on
+/// the coroutines' thread.
 pub trait Wire: Send + Sync + Sized + 'static {
     /// Data that the program attaches to an attempt.
     type Note: Send + 'static;
@@ -48,13 +48,13 @@
 pub enum ResponseMatch<HeadInfo> {
     /// It is the answer to this attempt.
     Expected(HeadInfo),
-    /// It is another answer to an earlier request. It is read and dropped, the answer to this attempt is awaited after
-    /// it, and then the connection is closed.
+    /// It is another answer to an earlier request. It is read and dropped, the answer to this attempt is awaited
+    /// after it, and then the connection is closed.
     Surplus,
 }
 
-/// A request as it is sent to servers, without the headers of the single attempt. Shared by all attempts; a large body
-/// is not copied.
+/// A request as it is sent to servers, without the headers of the single attempt. Shared by all attempts; a large
+/// body is not copied.
 pub struct ForwardedRequest {
     /// Request line and headers, without framing headers and the final blank line.
     pub head: Vec<u8>,
@@ -130,8 +130,8 @@
         self.0.send(ToServer::Send(job)).is_ok()
     }
 
-    /// Closes the attempt's connection; its outcome is not reported. `late`: set if the attempt timed out, to the time
-    /// when it was sent.
+    /// Closes the attempt's connection; its outcome is not reported. `late`: set if the attempt timed out, to the
+    /// time when it was sent.
     pub fn give_up(&self, id: u64, attempt: u32, late: Option<Micros>) {
         self.post(ToServer::GiveUp { id, attempt, late });
     }
@@ -245,8 +245,8 @@
 /// A connection that became idle less than this ago is used only if no other is idle.
 const REST_US: Micros = 2_000;
 
-/// A connection is not used in the last part of the time that its server keeps it open: the attempt could collide with
-/// the server's close.
+/// A connection is not used in the last part of the time that its server keeps it open: the attempt could collide
+/// with the server's close.
 const KEEP_MARGIN_US: Micros = 1_000_000;
 
 impl<W: Wire> Server<W> {
@@ -358,8 +358,8 @@
         }
     }
 
-    /// If the server takes no requests, ends the connections that are not established: an attempt must not be sent late
-    /// to a server that drains.
+    /// If the server takes no requests, ends the connections that are not established: an attempt must not be sent
+    /// late to a server that drains.
     fn fail_dialing(&mut self) {
         if self.up {
             return;
@@ -382,8 +382,8 @@
         }
     }
 
-    /// Closes connections that have been idle too long. The server might close them at any moment, and an attempt written
-    /// to such a connection would count as one that may have run, so a new connection is better.
+    /// Closes connections that have been idle too long. The server might close them at any moment, and an attempt
+    /// written to such a connection would count as one that may have run, so a new connection is better.
     fn close_expired(&mut self) {
         let (now, idle_us) = (self.resources.clock.now(), self.settings.idle_us);
         let (kept, expired) = std::mem::take(&mut self.idle)
@@ -423,8 +423,9 @@
         self.dial(job);
     }
 
-    /// Takes an idle connection: the latest that has been idle for `REST_US`, or else the latest. Unrequested bytes that a
-    /// server sends right after an answer have come by then, and cannot be taken for the answer to the next attempt.
+    /// Takes an idle connection: the latest that has been idle for `REST_US`, or else the latest. Unrequested bytes
+    /// that a server sends right after an answer have come by then, and cannot be taken for the answer to the next
+    /// attempt.
     fn take_idle(&mut self) -> Option<u64> {
         let before = self.resources.clock.now().saturating_sub(REST_US);
         let position = self.idle.iter().rposition(|idle| idle.since <= before);
@@ -569,7 +570,8 @@
         assert_eq!(order, [2, 1, 4, 3]);
     }
 
-    /// On the connection that carried the first attempt, a second answer to it could not be told from this one's answer.
+    /// On the connection that carried the first attempt, a second answer to it could not be told from this one's
+    /// answer.
     #[test]
     fn a_second_attempt_of_a_request_gets_a_connection_of_its_own() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/net/src/pool/connection.rs
+++ b/crates/net/src/pool/connection.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Handles the given events. Returns true if the connection cannot be used any more and no failure is to be reported.
+    /// Handles the given events. Returns true if the connection cannot be used any more and no failure is to be
+    /// reported.
     fn step(&mut self, events: usize) -> Result<bool, Cause> {
         let (resources, wire) = (&self.context.resources, &*self.context.wire);
         if !self.exchange.is_connected() {
@@ -96,7 +97,8 @@
             match self.exchange.read(wire, &mut self.io.inner(), events & events::ENDED != 0)? {
                 ReadResult::Wait => {}
                 ReadResult::Reusable { ended, keep_us } => {
-                    // Before the outcome is reported, so that an attempt sent right after it finds this connection idle.
+                    // Before the outcome is reported, so that an attempt sent right after it finds this connection
+                    // idle.
                     let _ = self.context.server.send(ToServer::Free { conn: self.context.number, keep_us });
                     wire.ended(ended);
                 }
--- a/crates/net/src/pool/exchange.rs
+++ b/crates/net/src/pool/exchange.rs
@@ -1,9 +1,9 @@
-//! The protocol of one connection to a server, without its socket: what is written for an attempt, what received bytes
-//! mean, and what is known of an attempt when the connection fails. The coroutine in `connection.rs` waits for events and
-//! passes its socket to each call; model tests pass a simulated one.
+//! The protocol of one connection to a server, without its socket: what is written for an attempt, what received
+//! bytes mean, and what is known of an attempt when the connection fails. The coroutine in `connection.rs` waits for
+//! events and passes its socket to each call; model tests pass a simulated one.
 //!
-//! Received bytes belong to the answer of an attempt only between its first written byte and the end of that answer. Any
-//! other bytes end the connection. States and rules are described in `docs/system/answers.md`.
+//! Received bytes belong to the answer of an attempt only between its first written byte and the end of that answer.
+//! Any other bytes end the connection. States and rules are described in `docs/system/answers.md`.
 
 use super::{Ended, Job, ResponseMatch, Served, Wire};
 use crate::Micros;
@@ -126,8 +126,8 @@
         now: Micros,
         socket: &mut impl Read,
     ) -> Result<(), Job<W::Note>> {
-        // Otherwise the server has closed the connection, or has sent unrequested bytes, which must not be taken for the
-        // answer to the next attempt.
+        // Otherwise the server has closed the connection, or has sent unrequested bytes, which must not be taken for
+        // the answer to the next attempt.
         if !nothing_to_read(socket) || !self.is_reusable() {
             return Err(job);
         }
@@ -255,8 +255,8 @@
             let served = Served { status: answer.status, head_info, body: answer.body.content };
             let ended = Ended { id, attempt, note, begun_at: self.begun_at, outcome: Ok(served) };
             self.used = true;
-            // After an answer that came before the request was completely written, or with further bytes behind it, the
-            // state of the connection is not certain.
+            // After an answer that came before the request was completely written, or with further bytes behind it,
+            // the state of the connection is not certain.
             let reusable = !answer.close && self.is_reusable();
             return Ok(Some((ended, reusable.then_some(answer.keep_us))));
         }
@@ -295,9 +295,9 @@
         Ok(true)
     }
 
-    /// Fails if an answer that has begun makes no progress in time, because its length is false or its server is gone:
-    /// the request must not wait until its deadline, as another attempt may still succeed. Servers that pause for longer
-    /// within an answer are cut off by this. Some: the time after which this is to be called again.
+    /// Fails if an answer that has begun makes no progress in time, because its length is false or its server is
+    /// gone: the request must not wait until its deadline, as another attempt may still succeed. Servers that pause
+    /// for longer within an answer are cut off by this. Some: the time after which this is to be called again.
     pub fn check_timeout(&mut self, now: Micros) -> Result<Option<Micros>, Cause> {
         if self.job.is_none() || (self.answer.is_none() && self.incoming.is_empty()) {
             return Ok(None);
--- a/crates/net/src/ring.rs
+++ b/crates/net/src/ring.rs
@@ -1,5 +1,5 @@
-//! Ring buffers, one for each connection and direction. A buffer starts small, grows for a large message, and is small
-//! again once it is empty: a thousand idle connections must not hold the memory of a thousand large messages.
+//! Ring buffers, one for each connection and direction. A buffer starts small, grows for a large message, and is
+//! small again once it is empty: a thousand idle connections must not hold the memory of a thousand large messages.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
--- a/crates/net/tests/common/tape.rs
+++ b/crates/net/tests/common/tape.rs
@@ -1,5 +1,5 @@
-//! The choices of a model test: all combinations of them, one run after the other, or random ones. Model tests of several
-//! crates include this file.
+//! The choices of a model test: all combinations of them, one run after the other, or random ones. Model tests of
+//! several crates include this file.
 
 /// The source of the choices of a run.
 pub struct Tape {
--- a/crates/net/tests/fuzz.rs
+++ b/crates/net/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Fuzz tests of the parsing of servers' answers and clients' requests, on a corpus of messages that are split at each
-//! byte, truncated, concatenated, and corrupted at random. Seeds and numbers of cases are fixed.
+//! Fuzz tests of the parsing of servers' answers and clients' requests, on a corpus of messages that are split at
+//! each byte, truncated, concatenated, and corrupted at random. Seeds and numbers of cases are fixed.
 
 use net::Micros;
 use net::clock::{Alarms, Clock};
@@ -153,8 +153,8 @@
             let (one, two) = bytes.split_at(at);
             let split = attempt_outcome(&method, &[one, two], End::Closed);
             assert_eq!(outcome(&split), outcome(&expected), "{name} split at {at}");
-            // Truncated there, the outcome is the same or a failure. If the body ends with the connection, only a reset
-            // shows that it was truncated.
+            // Truncated there, the outcome is the same or a failure. If the body ends with the connection, only a
+            // reset shows that it was truncated.
             for end in [End::Closed, End::Reset] {
                 let cut = attempt_outcome(&method, &[one], end);
                 let same = outcome(&cut) == outcome(&expected);
--- a/crates/net/tests/orders.rs
+++ b/crates/net/tests/orders.rs
@@ -1,11 +1,12 @@
 //! Guards against lost wake-ups: a model check of a mailbox, its waker and a wait. It repeats the steps of
-//! `net::mailbox` and of the coroutine library (0.3.51) for two senders or a sender and the event loop, and one actor, and
-//! visits every state that any order of the steps leads to. An actor that waits forever with a message or an event left
-//! for it has lost a wake-up. Each fault that the steps guard against is planted and must be found.
+//! `net::mailbox` and of the coroutine library (0.3.51) for two senders or a sender and the event loop, and one
+//! actor, and visits every state that any order of the steps leads to. An actor that waits forever with a message or
+//! an event left for it has lost a wake-up. Each fault that the steps guard against is planted and must be found.
 //!
-//! The model takes steps one at a time; on processors they overlap. The two overlaps that would matter are "park, then
-//! read the flag" of the wait and "set the flag, then take the parked coroutine" of the waker. Both access the slot of the
-//! parked coroutine with a swap, so of two such swaps the later one sees everything before the earlier one.
+//! The model takes steps one at a time; on processors they overlap. The two overlaps that would matter are "park,
+//! then read the flag" of the wait and "set the flag, then take the parked coroutine" of the waker. Both access the
+//! slot of the parked coroutine with a swap, so of two such swaps the later one sees everything before the earlier
+//! one.
 
 use std::collections::HashSet;
 
@@ -286,8 +287,8 @@
 // ---- descriptors ----
 
 /// Models two threads, the numbers of open descriptors, and which of them the event loop watches. One thread closes a
-/// descriptor that it watches; the other opens one, gets the lowest free number and watches it. Returns false if the new
-/// one is not watched in the end in some order of the steps.
+/// descriptor that it watches; the other opens one, gets the lowest free number and watches it. Returns false if the
+/// new one is not watched in the end in some order of the steps.
 fn watched_in_every_order(watch_ends_first: bool) -> bool {
     let (first, second) = if watch_ends_first { ("unwatch", "close") } else { ("close", "unwatch") };
     // Each bit set is a step of the closing thread: all orders of its two steps among the two of the other.
--- a/crates/net/tests/sockets.rs
+++ b/crates/net/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Pools and listeners over sockets on the loopback address. The test plays the server and the clients, and answers the
-//! handler's requests. Answers are matched to attempts by an id. All waits are bounded.
+//! Pools and listeners over sockets on the loopback address. The test plays the server and the clients, and answers
+//! the handler's requests. Answers are matched to attempts by an id. All waits are bounded.
 
 use may::io::CoIo;
 use net::Micros;
@@ -460,8 +460,8 @@
     }
 }
 
-/// When descriptors are short, the handler's timeouts are read for each accepted connection. Here each such call stops
-/// the listener and begins another connection, so that one is always waiting to be accepted.
+/// When descriptors are short, the handler's timeouts are read for each accepted connection. Here each such call
+/// stops the listener and begins another connection, so that one is always waiting to be accepted.
 #[test]
 fn a_stopped_listener_is_not_kept_open_by_clients_that_go_on_connecting() {
     let (test, listener) = start_listener_with(resources_with(40_000));
@@ -485,7 +485,8 @@
         assert!(std::time::Instant::now() < until, "the listener stays open");
     }
     let begun = begun.lock().expect("not poisoned").len();
-    // The timeouts are read once or twice for each accepted connection, at its start and its end; 1025 may have waited.
+    // The timeouts are read once or twice for each accepted connection, at its start and its end; 1025 may have
+    // waited.
     assert!(begun <= 2500, "{begun} after it was stopped");
     drop(taken);
 }
--- a/crates/net/tests/watching.rs
+++ b/crates/net/tests/watching.rs
@@ -1,6 +1,6 @@
-//! Guards against lost events: a descriptor that is opened on another thread while one is closed gets the same number,
-//! and must stay watched by the event loop. The tests force this order: right after a descriptor is closed, another one
-//! is opened, before anything else is done.
+//! Guards against lost events: a descriptor that is opened on another thread while one is closed gets the same
+//! number, and must stay watched by the event loop. The tests force this order: right after a descriptor is closed,
+//! another one is opened, before anything else is done.
 
 use may::io::CoIo;
 use net::socket::Watched;
@@ -39,8 +39,8 @@
 /// A watched descriptor and its other end.
 type Opened = (Watched<UnixStream>, UnixStream);
 
-/// A descriptor that is closed when it is dropped; right after that, another thread opens one with the same number and
-/// watches it.
+/// A descriptor that is closed when it is dropped; right after that, another thread opens one with the same number
+/// and watches it.
 struct Closing {
     stream: Option<UnixStream>,
     opened: Sender<Opened>,
