--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -17,7 +17,7 @@
 use curlewfront_config::Config;
 use curlewfront_fleet::run::Handle;
 use net::clock::{Alarm, Alarms, Clock};
-use net::door::Door;
+use net::listener::Listener;
 use shared::Shared;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -76,12 +76,12 @@
     let alarms = Alarms::start(clock).map_err(|e| cannot("set up timers", e))?;
     let alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
     let discovery_alarm = Alarm::new(clock).map_err(|e| cannot("set up timers", e))?;
-    let mut shared = Shared::new(config, clock, alarms, log, alarm.bell(), discovery_alarm.bell());
+    let mut shared = Shared::new(config, clock, alarms, log, alarm.waker(), discovery_alarm.waker());
     shared.fleet.clone_from(&fleet);
     let shared = Arc::new(shared);
     let listen = shared.config.listen;
     let handler = Arc::new(clients::ClientHandler(shared.clone()));
-    let clients = Door::start(listen, shared.room.clone(), handler)
+    let clients = Listener::start(listen, shared.room.clone(), handler)
         .map_err(|e| cannot(&format!("listen on {listen}"), e))?;
     let (drained, drained_receiver) = std::sync::mpsc::channel();
     signals::start(shared.clone(), clients, signals, drained).map_err(|e| cannot("watch for signals", e))?;
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -15,8 +15,8 @@
 use cluster::state::{Command, ServerChange, State};
 use cluster::talk::{Lease, News, Reading, Use, tenant_key};
 use curlewfront::{Action, Decider, Event, Hold, ListKind, Micros, NewRequest, Outcome};
-use net::limits::Held;
-use net::pool::Passage;
+use net::limits::BufferedBody;
+use net::pool::ForwardedRequest;
 use net::timeouts::Timeouts;
 use settings::config::{Config, Index, Kind, Route, Tenant};
 use settings::drill::{Fault, Ran};
@@ -38,7 +38,7 @@
     pub key: Option<String>,
     /// Header lines to forward to the server.
     pub head: Vec<u8>,
-    pub body: Held,
+    pub body: BufferedBody,
 }
 
 /// How an attempt ended.
@@ -128,9 +128,9 @@
     pub attempt_id: Arc<[u8]>,
     /// The server instance that may run it; another one at the same address must refuse it.
     pub instance: Arc<str>,
-    pub passage: Arc<Passage>,
+    pub request: Arc<ForwardedRequest>,
     /// An earlier attempt of this request went to this server.
-    pub again: bool,
+    pub same_server_retry: bool,
     /// When the attempt times out.
     pub until: Micros,
 }
@@ -170,7 +170,7 @@
 struct OpenRequest {
     attempt_id: Arc<[u8]>,
     /// The request without the lines that differ between attempts.
-    passage: Arc<Passage>,
+    forwarded: Arc<ForwardedRequest>,
     deadline: Micros,
     /// Number of the tenant's plan; 0: no tenant.
     plan: usize,
@@ -406,7 +406,10 @@
         let trials = if trial_reserved { self.routing_view.trial_zones(zones) } else { 0 };
         let accepted = OpenRequest {
             attempt_id: request.attempt_id.clone(),
-            passage: Arc::new(Passage { head: request_head(&request, tenant), body: request.body }),
+            forwarded: Arc::new(ForwardedRequest {
+                head: request_head(&request, tenant),
+                body: request.body,
+            }),
             deadline: self.now + left_us,
             plan,
             booking,
@@ -594,16 +597,25 @@
         if std::mem::take(&mut request.trial_reserved) && !placed.is_some_and(|p| p.trial) {
             self.rollouts.give_back(request.service);
         }
-        let again = request.attempts.iter().any(|t| t.server == server);
+        let same_server_retry = request.attempts.iter().any(|t| t.server == server);
         request.attempts.push(Attempt { server, sent_at: self.now, in_flight: true, placed });
         self.timeouts.add(until, id, attempt);
         self.counts.sent += 1;
         let Some((peer, _)) = self.peers.get(&server) else {
             return self.outcomes.push_back((id, attempt, Outcome::ConnectFailed));
         };
-        let (attempt_id, instance, passage) =
-            (request.attempt_id.clone(), peer.id.clone(), request.passage.clone());
-        out.push(Output::Send(Job { id, attempt, server, attempt_id, instance, passage, again, until }));
+        let (attempt_id, instance, forwarded) =
+            (request.attempt_id.clone(), peer.id.clone(), request.forwarded.clone());
+        out.push(Output::Send(Job {
+            id,
+            attempt,
+            server,
+            attempt_id,
+            instance,
+            request: forwarded,
+            same_server_retry,
+            until,
+        }));
     }
 
     fn answer(&mut self, id: u64, answer: Answer, out: &mut Vec<Output>) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -5,11 +5,11 @@
 use cluster::state::Node;
 use cluster::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use miette::{Result, miette};
-use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds};
-use net::limits::Held;
+use net::limits::BufferedBody;
+use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Listener, Reply};
 use net::pool::{self, Job, Peer};
-use net::room::Room;
+use net::resources::Resources;
 use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
@@ -77,13 +77,14 @@
     let (inbox, room) = (event_loop.inbox.clone(), runtime.room(event_loop.clock, RESERVED_DESCRIPTORS)?);
     let s = &runtime.settings;
     let status = Arc::new(Status::default());
-    let desk = Arc::new(ClientDesk { inbox: inbox.clone(), status: status.clone() });
+    let handler = Arc::new(ClientHandler { inbox: inbox.clone(), status: status.clone() });
     let listen = s.front_plain()?;
-    let door = Door::start(listen, room.clone(), desk);
-    let door = door.map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
+    let listener = Listener::start(listen, room.clone(), handler);
+    let listener = listener.map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     if let Ok(listen) = s.readiness() {
-        let desk = Arc::new(ReadinessDesk { status: status.clone() });
-        Door::start(listen, room.clone(), desk).map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
+        let handler = Arc::new(ReadinessHandler { status: status.clone() });
+        Listener::start(listen, room.clone(), handler)
+            .map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
     let messages = inbox.clone();
     runtime.on_signal(move |signal| messages.post(Message::Signal(signal)))?;
@@ -137,7 +138,7 @@
         inbox,
         dispatcher_outputs: Vec::new(),
         feed_outputs: Vec::new(),
-        door,
+        listener,
         finished,
         grace_us,
         stop_requested_at: None,
@@ -174,7 +175,7 @@
 }
 
 /// Takes requests of clients.
-struct ClientDesk {
+struct ClientHandler {
     inbox: Inbox<Message>,
     status: Arc<Status>,
 }
@@ -182,21 +183,27 @@
 /// Headers of a client that are not forwarded to servers.
 const NOT_FORWARDED: [&str; 4] = ["X-Time-Left", "Authorization", "X-Tenant-Name", "X-Expected-Instance"];
 
-impl Desk for ClientDesk {
-    type Ask = ClientRequest;
+impl Handler for ClientHandler {
+    type Request = ClientRequest;
 
     fn bounds(&self) -> Bounds {
         let get = |n: &AtomicUsize| n.load(Ordering::Relaxed);
         Bounds { head: get(&self.status.max_head_bytes), body: get(&self.status.max_body_bytes) }
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         let (wait, idle) = (get(&self.status.header_wait_us), get(&self.status.idle_us));
-        Patience { first_us: None, read_us: wait, write_us: idle, once_idle_us: idle, idle_us: idle }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us: wait,
+            write_us: idle,
+            idle_after_one_us: idle,
+            idle_us: idle,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<ClientRequest>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<ClientRequest>, Bad> {
         let text =
             |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim);
         let attempt_id = text("X-Attempt-Id").filter(|id| !id.is_empty());
@@ -206,8 +213,8 @@
         let key = text("Authorization").and_then(|v| v.split_once(' '));
         let key = key.filter(|(kind, _)| kind.eq_ignore_ascii_case("Token"));
         let mut lines = Vec::with_capacity(head.len);
-        http::pass_on(head.headers, &NOT_FORWARDED, &mut lines);
-        Ok(Heard::Take(ClientRequest {
+        http::copy_end_to_end_headers(head.headers, &NOT_FORWARDED, &mut lines);
+        Ok(HeadAction::Accept(ClientRequest {
             id: 0,
             method: head.method.to_string(),
             target: head.target.to_string(),
@@ -216,19 +223,19 @@
             left_us: left_us.map(|ms| ms.saturating_mul(1000)),
             key: key.map(|(_, key)| key.trim().to_string()),
             head: lines,
-            body: Held::default(),
+            body: BufferedBody::default(),
         }))
     }
 
-    fn asked(&self, id: u64, request: ClientRequest, body: Held, reply: Reply) {
+    fn handle(&self, id: u64, request: ClientRequest, body: BufferedBody, reply: Reply) {
         self.inbox.post(Message::Request(ClientRequest { id, body, ..request }, reply));
     }
 
-    fn abreast(&self) -> usize {
+    fn max_pipelined(&self) -> usize {
         MAX_PIPELINED
     }
 
-    fn withdrawn(&self, id: u64) {
+    fn client_gone(&self, id: u64) {
         self.inbox.post(Message::ClientGone(id));
     }
 
@@ -242,24 +249,30 @@
 }
 
 /// Answers the platform's readiness probe.
-struct ReadinessDesk {
+struct ReadinessHandler {
     status: Arc<Status>,
 }
 
-impl Desk for ReadinessDesk {
-    type Ask = ();
+impl Handler for ReadinessHandler {
+    type Request = ();
 
     fn bounds(&self) -> Bounds {
         Bounds { head: DEFAULT_LIMITS.0, body: 4096 }
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         let (read_us, idle_us) = (DEFAULT_LIMITS.2, DEFAULT_LIMITS.3);
-        Patience { first_us: None, read_us, write_us: read_us, once_idle_us: idle_us, idle_us }
+        ClientTimeouts {
+            first_request_us: None,
+            read_us,
+            write_us: read_us,
+            idle_after_one_us: idle_us,
+            idle_us,
+        }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<()>, Bad> {
-        Ok(Heard::Say(match settings::api::Call::of(head.method, head.target) {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<()>, Bad> {
+        Ok(HeadAction::Answer(match settings::api::Call::of(head.method, head.target) {
             Some((settings::api::Call::Ready, _)) if self.status.ready.load(Ordering::Relaxed) => {
                 Answer::text(200, "ready\n")
             }
@@ -268,11 +281,11 @@
         }))
     }
 
-    fn asked(&self, _: u64, (): (), _: Held, reply: Reply) {
+    fn handle(&self, _: u64, (): (), _: BufferedBody, reply: Reply) {
         reply.send(Answer::text(404, "no such call\n"));
     }
 
-    fn withdrawn(&self, _: u64) {}
+    fn client_gone(&self, _: u64) {}
 
     fn draining(&self) -> bool {
         false
@@ -305,12 +318,12 @@
     servers: Arc<Servers>,
     peers: HashMap<u64, Peer<Servers>>,
     replies: HashMap<u64, Reply>,
-    room: Arc<Room>,
+    room: Arc<Resources>,
     status: Arc<Status>,
     inbox: Inbox<Message>,
     dispatcher_outputs: Vec<dispatcher::Output>,
     feed_outputs: Vec<feed::Output>,
-    door: Arc<Door<ClientDesk>>,
+    listener: Arc<Listener<ClientHandler>>,
     /// Told once the proxy may exit.
     finished: Sender<()>,
     grace_us: Micros,
@@ -324,8 +337,8 @@
             dial_us: SERVER_CONNECT_TIMEOUT_US,
             answer_us: ANSWER_STALL_TIMEOUT_US,
             idle_us: SERVER_IDLE_US,
-            most: usize::MAX,
-            silence: Some(ACK_TIMEOUT),
+            max_connections: usize::MAX,
+            tcp_user_timeout: Some(ACK_TIMEOUT),
             bounds: ANSWER_BOUNDS,
         }
     }
@@ -335,13 +348,20 @@
         for output in std::mem::take(&mut self.dispatcher_outputs) {
             match output {
                 dispatcher::Output::Send(job) => {
-                    let dispatcher::Job { id, attempt, server, attempt_id, instance, passage, again, until } =
-                        job;
+                    let dispatcher::Job {
+                        id,
+                        attempt,
+                        server,
+                        attempt_id,
+                        instance,
+                        request,
+                        same_server_retry,
+                        until,
+                    } = job;
                     let note = AttemptInfo { name: attempt_id, instance };
-                    let sent = self
-                        .peers
-                        .get(&server)
-                        .is_some_and(|p| p.send(Job { id, attempt, passage, again, until, note }));
+                    let sent = self.peers.get(&server).is_some_and(|p| {
+                        p.send(Job { id, attempt, request, same_server_retry, until, note })
+                    });
                     if !sent {
                         let end = AttemptResult::Broken { execution: Execution::NeverRan };
                         self.inbox.post(Message::AttemptEnded(id, attempt, end));
@@ -373,11 +393,11 @@
                         .peers
                         .entry(server)
                         .or_insert_with(|| Peer::start(peer.addr, room.clone(), servers.clone(), settings));
-                    server.listed(peer.addr, up);
+                    server.update(peer.addr, up);
                 }
                 dispatcher::Output::ServerRemoved { server } => {
                     if let Some(peer) = self.peers.remove(&server) {
-                        peer.gone();
+                        peer.remove();
                     }
                 }
             }
@@ -499,11 +519,12 @@
     fn is_finished(&self, now: Micros) -> bool {
         let Some(stop_requested_at) = self.stop_requested_at else { return false };
         if now >= stop_requested_at + KEEP_ACCEPTING_US {
-            self.door.shut();
+            self.listener.stop_accepting();
         }
         let grace_over = now >= stop_requested_at + self.grace_us.saturating_sub(GRACE_RESERVE_US);
         grace_over
-            || (now >= stop_requested_at + KEEP_ACCEPTING_US + LISTENER_CLOSE_US && self.door.count() == 0)
+            || (now >= stop_requested_at + KEEP_ACCEPTING_US + LISTENER_CLOSE_US
+                && self.listener.count() == 0)
     }
 }
 
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -12,9 +12,9 @@
 use httparse::Header;
 use net::errors::Cause;
 use net::http::{Bounds, Response};
-use net::limits::Held;
-use net::pool::exchange::{Exchange, Left, Then};
-use net::pool::{self, Heard, Wire};
+use net::limits::BufferedBody;
+use net::pool::exchange::{AfterFailure, Exchange, ReadResult};
+use net::pool::{self, ResponseMatch, Wire};
 use proxy::dispatcher::{Answer, AttemptResult, ClientRequest, Execution, Input, Job, Output, ServerAnswer};
 use proxy::servers::{AnswerInfo, AttemptInfo, ServerWire};
 use std::collections::{BTreeMap, VecDeque};
@@ -92,25 +92,26 @@
 
 impl Wire for Protocol {
     type Note = AttemptInfo;
-    type Said = AnswerInfo;
+    type HeadInfo = AnswerInfo;
 
-    fn last_lines(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
-        self.servers.last_lines(job, left_us, out);
+    fn attempt_headers(&self, job: &Carried, left_us: Micros, out: &mut Vec<u8>) {
+        self.servers.attempt_headers(job, left_us, out);
     }
 
-    fn heard(&self, job: &Carried, head: &Response) -> Heard<AnswerInfo> {
+    fn response_head(&self, job: &Carried, head: &Response) -> ResponseMatch<AnswerInfo> {
         let mut headers = head.headers.to_vec();
         if self.ignore_ids {
             headers.retain(|h| h.name != "X-Attempt-Id");
             headers.push(Header { name: "X-Attempt-Id", value: &job.note.name });
         }
         let Response { status, len, framing, close, .. } = *head;
-        self.servers.heard(job, &Response { status, headers: &headers, len, framing, close })
+        self.servers.response_head(job, &Response { status, headers: &headers, len, framing, close })
     }
 
     fn ended(&self, ended: pool::Ended<Protocol>) {
         let pool::Ended { id, attempt, note, begun_at, outcome } = ended;
-        let outcome = outcome.map(|s| pool::Served { status: s.status, said: s.said, body: s.body });
+        let outcome =
+            outcome.map(|s| pool::Served { status: s.status, head_info: s.head_info, body: s.body });
         self.servers.ended(pool::Ended { id, attempt, note, begun_at, outcome });
     }
 }
@@ -192,7 +193,7 @@
             left_us: None,
             key: Some("k1".into()),
             head,
-            body: Held { bytes, lease: None },
+            body: BufferedBody { bytes, lease: None },
         }));
     }
 
@@ -200,13 +201,23 @@
         self.proxy.tell(input);
         for output in std::mem::take(&mut self.proxy.out) {
             match output {
-                Output::Send(Job { id, attempt, server, attempt_id, instance, passage, again, until }) => {
-                    let again = again && self.bug != Some(InjectedBug::SameConnectionAgain);
+                Output::Send(Job {
+                    id,
+                    attempt,
+                    server,
+                    attempt_id,
+                    instance,
+                    request,
+                    same_server_retry,
+                    until,
+                }) => {
+                    let same_server_retry =
+                        same_server_retry && self.bug != Some(InjectedBug::SameConnectionAgain);
                     let job = Carried {
                         id,
                         attempt,
-                        passage,
-                        again,
+                        request,
+                        same_server_retry,
                         until,
                         note: AttemptInfo { name: attempt_id, instance },
                     };
@@ -237,7 +248,7 @@
         for n in 0..self.conns.len() {
             let conn = &mut self.conns[n];
             let reuse_unread = self.bug == Some(InjectedBug::ReuseUnreadConnection);
-            if !conn.idle || !conn.open || conn.server != server || (job.again && !reuse_unread) {
+            if !conn.idle || !conn.open || conn.server != server || (job.same_server_retry && !reuse_unread) {
                 continue;
             }
             conn.idle = false;
@@ -263,7 +274,7 @@
         if self.pick_fault(2) == 1 {
             // The connection does not come up.
             return match exchange.fail(Cause::DialTimeout) {
-                Left::Failed(ended) => self.wire.ended(ended),
+                AfterFailure::Failed(ended) => self.wire.ended(ended),
                 _ => self.violations.push("an attempt without an outcome".into()),
             };
         }
@@ -311,16 +322,19 @@
         }
         let (now, conn) = (self.proxy.now, &mut self.conns[n]);
         let ended = conn.pipe.closed.is_some();
-        let read =
-            if readable { conn.exchange.read(&self.wire, &mut conn.pipe, ended) } else { Ok(Then::Wait) };
+        let read = if readable {
+            conn.exchange.read(&self.wire, &mut conn.pipe, ended)
+        } else {
+            Ok(ReadResult::Wait)
+        };
         let step = read.and_then(|then| {
             match then {
-                Then::Wait => {}
-                Then::Free { ended, .. } => {
+                ReadResult::Wait => {}
+                ReadResult::Reusable { ended, .. } => {
                     (conn.attempt, conn.idle) = (None, true);
                     self.wire.ended(ended);
                 }
-                Then::Over { ended } => {
+                ReadResult::Finished { ended } => {
                     let reuse_unread =
                         self.bug == Some(InjectedBug::ReuseUnreadConnection) && conn.pipe.closed.is_none();
                     (conn.attempt, conn.open, conn.idle) = (None, reuse_unread, reuse_unread);
@@ -329,7 +343,7 @@
                 }
             }
             conn.exchange.write(&mut conn.pipe)?;
-            if let Some(wait) = conn.exchange.hurry(now)? {
+            if let Some(wait) = conn.exchange.check_timeout(now)? {
                 conn.stall_check_at = Some(now + wait);
             }
             Ok(())
@@ -338,9 +352,9 @@
         (conn.open, conn.idle, conn.attempt) = (false, false, None);
         let server = conn.server;
         match conn.exchange.fail(cause) {
-            Left::Nothing => {}
-            Left::Unsent(job) => self.send(server, job),
-            Left::Failed(ended) => self.wire.ended(ended),
+            AfterFailure::Nothing => {}
+            AfterFailure::Unsent(job) => self.send(server, job),
+            AfterFailure::Failed(ended) => self.wire.ended(ended),
         }
     }
 
@@ -570,7 +584,7 @@
             return (count, Some(format!("{first} in {picks:?}")));
         }
         tape = tape_after;
-        if !tape.turn_over() {
+        if !tape.next_combination() {
             return (count, None);
         }
     }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange};
 use cluster::talk::News;
-use net::limits::Held;
+use net::limits::BufferedBody;
 use proxy::dispatcher::{
     Answer, AttemptResult, ClientRequest, Dispatcher, Execution, Input, Job, Output, ServerAnswer,
 };
@@ -163,7 +163,7 @@
             left_us,
             key: key.map(str::to_string),
             head: b"Accept: all\r\n".to_vec(),
-            body: Held::default(),
+            body: BufferedBody::default(),
         }));
         self.asked
     }
--- a/crates/proxy/tests/dispatcher.rs
+++ b/crates/proxy/tests/dispatcher.rs
@@ -78,7 +78,7 @@
     ] {
         let mut proxy = Proxy::with(&[("a", "north-a")]);
         proxy.ask(path, key);
-        let head = String::from_utf8(proxy.sent().expect("sent").passage.head.clone()).expect("text");
+        let head = String::from_utf8(proxy.sent().expect("sent").request.head.clone()).expect("text");
         assert_eq!(head, format!("GET {path} HTTP/1.1\r\nAccept: all\r\n{tenant}"));
     }
     let mut proxy = Proxy::with(&[("a", "north-a")]);
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -5,9 +5,9 @@
 use cluster::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
 use miette::{Result, miette};
 use net::Micros;
-use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
 use net::http::{self, Bad, Bounds};
-use net::limits::Held;
+use net::limits::BufferedBody;
+use net::listener::{Answer, ClientTimeouts, Handler, HeadAction, Listener, Reply};
 use registry::calls::{self, Request};
 use registry::control_plane::{ControlPlane, DEFAULT_ORDER_REPEAT_US, Input, Output, Parameters};
 use runtime::event_loop::{Inbox, StateMachine};
@@ -66,11 +66,11 @@
         order_repeat_us: s.bounds.ack_limit_ms.map_or(DEFAULT_ORDER_REPEAT_US, |ms| ms * 1000),
     };
     let draining = Arc::new(AtomicBool::new(false));
-    let desk = Arc::new(CallDesk { inbox: inbox.clone(), draining: draining.clone() });
+    let handler = Arc::new(CallHandler { inbox: inbox.clone(), draining: draining.clone() });
     let mut listens = vec![s.control()?];
     listens.extend(s.directory().ok().filter(|d| !listens.contains(d)));
     for listen in listens {
-        Door::start(listen, room.clone(), desk.clone())
+        Listener::start(listen, room.clone(), handler.clone())
             .map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
     let peers = runtime.listen(REGISTRY_PEERS, &inbox, Message::PeerAccepted, Message::PeerEvent)?;
@@ -103,28 +103,28 @@
 const DEFAULT_CONFIG_APPLY_MS: u64 = 3000;
 
 /// The handler of both listeners: reads a call and passes it to the control plane.
-struct CallDesk {
+struct CallHandler {
     inbox: Inbox<Message>,
     draining: Arc<AtomicBool>,
 }
 
-impl Desk for CallDesk {
-    type Ask = Request;
+impl Handler for CallHandler {
+    type Request = Request;
 
     fn bounds(&self) -> Bounds {
         BOUNDS
     }
 
-    fn patience(&self) -> Patience {
+    fn timeouts(&self) -> ClientTimeouts {
         const IO_LIMIT_US: Micros = 10_000_000;
-        let (read_us, write_us, once_idle_us, idle_us) =
+        let (read_us, write_us, idle_after_one_us, idle_us) =
             (IO_LIMIT_US, IO_LIMIT_US, IO_LIMIT_US, 3 * IO_LIMIT_US);
-        Patience { first_us: None, read_us, write_us, once_idle_us, idle_us }
+        ClientTimeouts { first_request_us: None, read_us, write_us, idle_after_one_us, idle_us }
     }
 
-    fn head(&self, head: &http::Request) -> Result<Heard<Request>, Bad> {
+    fn head(&self, head: &http::Request) -> Result<HeadAction<Request>, Bad> {
         let text = |name| http::header(head.headers, name).and_then(|v| std::str::from_utf8(v).ok());
-        Ok(Heard::Take(Request {
+        Ok(HeadAction::Accept(Request {
             method: head.method.to_string(),
             target: head.target.to_string(),
             if_match: text("If-Match").map(|v| v.trim().trim_matches('"').to_string()),
@@ -132,12 +132,12 @@
         }))
     }
 
-    fn asked(&self, id: u64, mut ask: Request, body: Held, reply: Reply) {
+    fn handle(&self, id: u64, mut ask: Request, body: BufferedBody, reply: Reply) {
         ask.body = body.bytes;
         self.inbox.post(Message::Call(id, ask, reply));
     }
 
-    fn withdrawn(&self, id: u64) {
+    fn client_gone(&self, id: u64) {
         self.inbox.post(Message::CallClosed(id));
     }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -11,7 +11,7 @@
 use miette::{Report, Result, miette};
 use net::clock::{Alarm, Alarms, Clock};
 use net::mailbox::Mailbox;
-use net::room::Room;
+use net::resources::Resources;
 use serde::de::DeserializeOwned;
 use settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -170,20 +170,20 @@
         net::set_up();
         let clock = Clock::start();
         let alarm = Alarm::new(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
-        let inbox = Arc::new(Mailbox::new(alarm.bell()));
+        let inbox = Arc::new(Mailbox::new(alarm.waker()));
         Ok(EventLoop { clock, alarm, inbox })
     }
 
     /// The resources that listeners and pools share. `reserved`: descriptors, of those that the settings grant, that
     /// are kept for other uses.
-    pub fn room(&self, clock: Clock, reserved: u64) -> Result<Arc<Room>> {
+    pub fn room(&self, clock: Clock, reserved: u64) -> Result<Arc<Resources>> {
         let alarms = Alarms::start(clock).map_err(|e| miette!("cannot set up timers: {e}"))?;
         let limits = &self.settings.limits;
         let sockets =
             limits.descriptor_limit.unwrap_or(DEFAULT_DESCRIPTORS).saturating_sub(reserved) as usize;
         let memory = limits.memory_size_mb.unwrap_or(DEFAULT_MEMORY_MB);
         let warn = Box::new(|what: std::fmt::Arguments| log::warn!("{what}"));
-        Ok(Arc::new(Room::new(sockets, memory, clock, alarms, warn)))
+        Ok(Arc::new(Resources::new(sockets, memory, clock, alarms, warn)))
     }
 
     /// Accepts links on one of this machine's internal ports. For each, `accepted` is posted first, then its events.
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -132,7 +132,7 @@
     socket.set_tcp_user_timeout(Some(ack_timeout))?;
     let io = Watched::new(TcpStream::from(socket))?;
     // The owner must have its end before the link reports anything, so both start with the same mailbox.
-    let inbox = Arc::new(Mailbox::new(io.bell()));
+    let inbox = Arc::new(Mailbox::new(io.waker()));
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let on_event = on_accept(LinkHandle { number, inbox: inbox.clone() }, from);
     spawn(io, number, inbox, false, on_event);
@@ -144,7 +144,7 @@
     dialing: bool,
     on_event: impl Fn(u64, Event<I>) + Send + 'static,
 ) -> LinkHandle {
-    let inbox = Arc::new(Mailbox::new(io.bell()));
+    let inbox = Arc::new(Mailbox::new(io.waker()));
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     spawn(io, number, inbox.clone(), dialing, on_event);
     LinkHandle { number, inbox }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -11,7 +11,7 @@
 use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
 use config_store::chest::{self, Chest, Peer};
 use consensus::{Saved, Write};
-use net::limits::Held;
+use net::limits::BufferedBody;
 use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution, ServerAnswer};
 use proxy::failure_detector::FailureDetector;
 use proxy::feed::{self, Feed};
@@ -609,7 +609,7 @@
                     left_us: Some(t.until.saturating_sub(t.sent)),
                     key: t.key.clone(),
                     head: format!("X-Attempt-Id: {number}\r\n").into_bytes(),
-                    body: Held::default(),
+                    body: BufferedBody::default(),
                 };
                 x.open.insert(conn, number);
                 self.front(n, Some(dispatcher::Input::Request(ask)));
@@ -779,7 +779,7 @@
                     instance: job.instance.to_string(),
                     sent: self.now,
                     until: started.saturating_add(job.until),
-                    head: job.passage.head.clone(),
+                    head: job.request.head.clone(),
                     edge: self.host_of(me),
                     life,
                 });
@@ -787,7 +787,7 @@
                     let end = AttemptResult::Broken { execution: Execution::NeverRan };
                     return Some(dispatcher::Input::AttemptEnded { id: job.id, attempt: job.attempt, end });
                 };
-                let kept = x.idle.get_mut(&job.server).filter(|_| !job.again).and_then(Vec::pop);
+                let kept = x.idle.get_mut(&job.server).filter(|_| !job.same_server_retry).and_then(Vec::pop);
                 let conn = kept.unwrap_or_else(|| self.dial(Kind::Work, me, Owner::Server(to)));
                 let (id, attempt, server) = (job.id, job.attempt, job.server);
                 if kept.is_some() {
