--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The store of configuration. Its decisions stand in [`chest`], around the agreement (`consensus`); `main.rs` is the
+//! The store of configuration. Its decisions stand in [`replica`], around the agreement (`consensus`); `main.rs` is the
 //! shell around them.
 
-pub mod chest;
+pub mod replica;
 pub mod store;
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,7 +1,7 @@
-//! The shell of the store of configuration: links, disk and time around `config_store::chest`.
+//! The shell of the store of configuration: links, disk and time around `config_store::replica`.
 
 use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
-use config_store::chest::{Chest, Input, Output, Peer, Standing};
+use config_store::replica::{Input, Output, Peer, Replica, Standing};
 use consensus::disk::Store;
 use consensus::{Saved, Write};
 use miette::{Result, miette};
@@ -54,11 +54,11 @@
     };
     let (store, saved) = Store::open(&dir, me, fresh).map_err(|e| miette!("{e}"))?;
     let now = stage.clock.now();
-    let chest = Chest::new(me, store.disk(), saved, seeds.clone(), start.life, now);
-    let mut chest = chest.map_err(|e| miette!("{}: {e}", dir.display()))?;
+    let replica = Replica::new(me, store.disk(), saved, seeds.clone(), start.life, now);
+    let mut replica = replica.map_err(|e| miette!("{}: {e}", dir.display()))?;
     let mut out = Vec::new();
-    chest.handle(now, Input::Settings { size: core_size(&start.settings), seeds }, &mut out);
-    log::info!("disk {} at revision {}", chest.disk(), chest.copy.rev());
+    replica.handle(now, Input::Settings { size: core_size(&start.settings), seeds }, &mut out);
+    log::info!("disk {} at revision {}", replica.disk(), replica.copy.rev());
 
     let (writes, to_write) = channel();
     write(store, dir, me, to_write, inbox.clone())?;
@@ -70,7 +70,7 @@
     let (over, ended) = channel();
     let (fellows, taken, locals) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     let shell = Shell {
-        chest,
+        replica,
         me,
         peers_port,
         fellows,
@@ -122,7 +122,7 @@
 }
 
 struct Shell {
-    chest: Chest,
+    replica: Replica,
     me: Ipv4Addr,
     peers_port: u16,
     fellows: BTreeMap<Ipv4Addr, ReconnectingLink>,
@@ -143,7 +143,7 @@
         let input = match told {
             None => Some(Input::Tick),
             Some(Told::FellowLink(ip, link, event)) => {
-                let iam = Peer::Iam { ip: self.me, disk: self.chest.disk() };
+                let iam = Peer::Iam { ip: self.me, disk: self.replica.disk() };
                 if let Some(tie) = self.fellows.get_mut(&ip) {
                     match event {
                         Event::Up if tie.on_up(link) => tie.send(&iam),
@@ -193,12 +193,12 @@
             }
         };
         if let Some(input) = input {
-            self.chest.handle(now, input, &mut self.out);
-            let stands = self.chest.standing();
+            self.replica.handle(now, input, &mut self.out);
+            let stands = self.replica.standing();
             if stands != self.stood {
                 log::info!("{stands}");
                 self.stood = stands;
-                if let Some(why) = self.chest.unreadable() {
+                if let Some(why) = self.replica.unreadable() {
                     log::error!("{why}; start the program of the other stores on this disk");
                     runtime::log_buffer::dump("what the others agree on cannot be read");
                 }
@@ -222,7 +222,7 @@
             }
         }
         let port = self.peers_port;
-        for ip in self.chest.fellows() {
+        for ip in self.replica.fellows() {
             self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
         }
         // Also to those that are no fellows yet: a leader brings a newcomer up to date before it is one.
@@ -230,13 +230,13 @@
             let (ip, inbox) = (*ip, self.inbox.clone());
             tie.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
         }
-        if self.chest.ends_at().is_some_and(|at| now >= at) {
+        if self.replica.ends_at().is_some_and(|at| now >= at) {
             let _ = self.over.send(());
         }
     }
 
     fn wake_at(&mut self) -> Micros {
         let ties = self.fellows.values().map(ReconnectingLink::wake_at).min().unwrap_or(Micros::MAX);
-        self.chest.wake_at().min(ties)
+        self.replica.wake_at().min(ties)
     }
 }
--- a/crates/config-store/src/chest.rs
+++ b/crates/config-store/src/replica.rs
@@ -18,7 +18,7 @@
     LocalDown(u64),
     Written(u64),
     WriteFailed,
-    /// The program is about to end: it may once [`Chest::ends_at`] has come.
+    /// The program is about to end: it may once [`Replica::ends_at`] has come.
     Stop,
     /// As the settings have it: how many members the core is to have, and who is asked for the group.
     Settings {
@@ -109,7 +109,7 @@
     }
 }
 
-pub struct Chest {
+pub struct Replica {
     me: Ipv4Addr,
     disk: Disk,
     now: Micros,
@@ -145,7 +145,7 @@
     fresh_at: Option<Micros>,
 }
 
-impl Chest {
+impl Replica {
     /// `saved`: what is on disk number `disk`; `life`: drawn at each start.
     pub fn new(
         me: Ipv4Addr,
@@ -154,7 +154,7 @@
         seeds: Vec<Ipv4Addr>,
         life: u64,
         now: Micros,
-    ) -> Result<Chest, String> {
+    ) -> Result<Replica, String> {
         let mut state = State::default();
         if !saved.snapshot.data.is_empty() {
             state = State::read(now, &saved.snapshot.data)?;
@@ -162,7 +162,7 @@
         state.rev = state.rev.max(saved.snapshot.index);
         let (snapshot_at, snapshot_bytes) = (state.rev, saved.snapshot.data.len());
         let consensus = Ratchet::new(me, disk, saved, life, Timing::default(), now);
-        let mut chest = Chest {
+        let mut replica = Replica {
             me,
             disk,
             now,
@@ -188,8 +188,8 @@
             agreed: VecDeque::new(),
             fresh_at: None,
         };
-        chest.consensus.handle(now, consensus::Input::Seeds(seeds), &mut chest.out);
-        Ok(chest)
+        replica.consensus.handle(now, consensus::Input::Seeds(seeds), &mut replica.out);
+        Ok(replica)
     }
 
     pub fn disk(&self) -> Disk {
--- a/crates/config-store/tests/catching_up.rs
+++ b/crates/config-store/tests/catching_up.rs
@@ -1,7 +1,7 @@
 //! A store that comes back: what it may say of itself before it has all, and what of a later program it refuses.
 
 use cluster::state::{Command, State};
-use config_store::chest::{Chest, Input, Output, Peer};
+use config_store::replica::{Input, Output, Peer, Replica};
 use consensus::{Entry, Message, Payload, Roster, Saved};
 use std::net::Ipv4Addr;
 
@@ -13,7 +13,7 @@
 }
 
 struct Store {
-    chest: Chest,
+    replica: Replica,
     saved: Saved,
     now: u64,
     sent: Vec<Message>,
@@ -24,8 +24,8 @@
 impl Store {
     fn new() -> Store {
         let saved = Saved::founding([ip(1), ip(2), ip(3)]);
-        let chest = Chest::new(ME, 0, saved.clone(), vec![LEADER], 1, 0).expect("readable");
-        Store { chest, saved, now: 0, sent: Vec::new(), reads: Vec::new() }
+        let replica = Replica::new(ME, 0, saved.clone(), vec![LEADER], 1, 0).expect("readable");
+        Store { replica, saved, now: 0, sent: Vec::new(), reads: Vec::new() }
     }
 
     fn hear(&mut self, message: Message) {
@@ -37,7 +37,7 @@
         let mut inputs = vec![Input::Peer(LEADER, peer)];
         while let Some(input) = inputs.pop() {
             let mut out = Vec::new();
-            self.chest.handle(self.now, input, &mut out);
+            self.replica.handle(self.now, input, &mut out);
             for output in out {
                 match output {
                     Output::Write(write) => {
@@ -105,14 +105,14 @@
     let mut store = Store::new();
     let data = evacuated(300, 90);
     store.part(300, &data, 0, data.len() / 2);
-    assert_eq!(store.chest.standing().leader, Some(LEADER), "it hears who leads");
-    assert!(!store.chest.fresh(), "and has nothing yet");
+    assert_eq!(store.replica.standing().leader, Some(LEADER), "it hears who leads");
+    assert!(!store.replica.fresh(), "and has nothing yet");
     store.part(300, &data, data.len() / 2, data.len());
-    assert_eq!(store.chest.copy.rev(), 300);
-    assert!(!store.chest.fresh(), "how far the others have come since is not told");
+    assert_eq!(store.replica.copy.rev(), 300);
+    assert!(!store.replica.fresh(), "how far the others have come since is not told");
     store.append(300, 301, vec![evacuate("a"), evacuate("b")]);
-    assert_eq!((store.chest.copy.rev(), store.chest.fresh()), (301, true));
-    assert_eq!(store.chest.copy.state.evacuated.len(), 91);
+    assert_eq!((store.replica.copy.rev(), store.replica.fresh()), (301, true));
+    assert_eq!(store.replica.copy.state.evacuated.len(), 91);
 }
 
 /// Of an older snapshot, which the leader has given up: it takes nothing from the newer one that is coming.
@@ -126,7 +126,7 @@
     store.part(256, &old, 0, 100);
     store.part(300, &new, 0, 200);
     store.part(300, &new, 200, new.len());
-    assert_eq!((store.chest.copy.rev(), store.chest.copy.state.evacuated.len()), (300, 90));
+    assert_eq!((store.replica.copy.rev(), store.replica.copy.state.evacuated.len()), (300, 90));
     let got = |m: &Message| match m {
         Message::Got { index, offset, .. } => Some((*index, *offset)),
         _ => None,
@@ -140,28 +140,28 @@
 fn a_leader_that_does_not_know_yet_what_counts_makes_nobody_fresh() {
     let mut store = Store::new();
     store.append(0, 0, vec![Payload::Nothing]);
-    assert!(!store.chest.fresh(), "nothing of its own term counts yet");
+    assert!(!store.replica.fresh(), "nothing of its own term counts yet");
     store.append(1, 1, vec![evacuate("a")]);
-    assert!(store.chest.fresh());
+    assert!(store.replica.fresh());
 }
 
 #[test]
 fn a_state_of_a_later_program_is_refused_and_the_disk_stays_as_it_was() {
     let mut store = Store::new();
     store.append(0, 2, vec![Payload::Nothing, evacuate("a")]);
-    assert!(store.chest.fresh());
+    assert!(store.replica.fresh());
     let mut data = evacuated(300, 9);
     data[0] = 77;
     let (before, answers) = (store.saved.clone(), store.sent.len());
     store.part(300, &data, 0, data.len());
-    let why = store.chest.unreadable().expect("refused");
+    let why = store.replica.unreadable().expect("refused");
     assert!(why.contains("form 77") && why.contains("this program reads"), "{why}");
     assert_eq!(store.saved, before, "a program that can read it begins from what was there");
-    assert_eq!((store.chest.fresh(), store.chest.standing().leader), (false, None));
+    assert_eq!((store.replica.fresh(), store.replica.standing().leader), (false, None));
     store.append(300, 301, vec![evacuate("b")]);
-    assert_eq!((store.chest.copy.rev(), store.sent.len()), (2, answers), "it takes no part any more");
+    assert_eq!((store.replica.copy.rev(), store.sent.len()), (2, answers), "it takes no part any more");
     // With its disk it is a member again.
-    let again = Chest::new(ME, 0, store.saved.clone(), vec![LEADER], 1, 0).expect("readable");
+    let again = Replica::new(ME, 0, store.saved.clone(), vec![LEADER], 1, 0).expect("readable");
     assert!(again.unreadable().is_none());
 }
 
@@ -171,11 +171,11 @@
     store.append(0, 2, vec![Payload::Nothing, evacuate("a")]);
     let unknown = Payload::Data(vec![200, 1, 2, 3]);
     store.append(2, 5, vec![evacuate("b"), unknown, evacuate("c")]);
-    let why = store.chest.unreadable().expect("refused");
+    let why = store.replica.unreadable().expect("refused");
     assert!(why.contains("entry 4 is no command of this program"), "{why}");
-    assert!(!store.chest.fresh());
-    let zones: Vec<&str> = store.chest.copy.state.evacuated.iter().map(String::as_str).collect();
-    assert_eq!((store.chest.copy.rev(), zones), (3, vec!["a", "b"]));
+    assert!(!store.replica.fresh());
+    let zones: Vec<&str> = store.replica.copy.state.evacuated.iter().map(String::as_str).collect();
+    assert_eq!((store.replica.copy.rev(), zones), (3, vec!["a", "b"]));
 }
 
 /// Configurations of 60 KB: the log that is kept does not come to hundreds of them.
--- a/crates/config-store/tests/forms.rs
+++ b/crates/config-store/tests/forms.rs
@@ -8,7 +8,7 @@
 use cluster::booking::{BookChange, Booking, Unused};
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange, State};
 use cluster::talk::StorePeer;
-use config_store::chest::Chest;
+use config_store::replica::Replica;
 use config_store::store;
 use consensus::disk::{Store, sealed, unsealed};
 use consensus::{Entry, Hard, Member, Message, Payload, Roster, Saved, Snapshot, decode, encode};
@@ -244,10 +244,10 @@
     let (store, found) = Store::open(&folder.0, ME, || panic!("it is there")).expect("read");
     assert_eq!((store.disk(), &found), (DISK, &saved(3)));
     // What is written after it is read again beside it.
-    let mut chest = Chest::new(ME, DISK, found, vec![ip(2)], 1, 0).expect("its state is read");
-    assert_eq!(chest.copy.state.version(), 1);
+    let mut replica = Replica::new(ME, DISK, found, vec![ip(2)], 1, 0).expect("its state is read");
+    assert_eq!(replica.copy.state.version(), 1);
     let mut out = Vec::new();
-    chest.handle(1, config_store::chest::Input::Tick, &mut out);
+    replica.handle(1, config_store::replica::Input::Tick, &mut out);
     drop(store);
     let told = store::check(&folder.0).expect("sound");
     assert!(told.contains("votes and counts") && told.contains("configuration  00000001"), "{told}");
--- a/crates/config-store/tests/chest.rs
+++ b/crates/config-store/tests/replica.rs
@@ -3,7 +3,7 @@
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, ToStore, Unsure};
-use config_store::chest::{Chest, Input, Output, Peer};
+use config_store::replica::{Input, Output, Peer, Replica};
 use consensus::Saved;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -17,7 +17,7 @@
 }
 
 struct Machine {
-    chest: Chest,
+    replica: Replica,
     saved: Saved,
     /// What the registry on this machine makes of the store's news, and what else it was last told.
     copy: Copy,
@@ -37,9 +37,9 @@
 }
 
 /// `life`: how often it was started before.
-fn chest(me: Ipv4Addr, saved: Saved, life: u64, now: u64) -> Chest {
+fn replica(me: Ipv4Addr, saved: Saved, life: u64, now: u64) -> Replica {
     let seed = u64::from(me.octets()[3]) + (life << 8);
-    Chest::new(me, 0, saved, vec![ip(1), ip(2), ip(3)], seed, now).expect("readable")
+    Replica::new(me, 0, saved, vec![ip(1), ip(2), ip(3)], seed, now).expect("readable")
 }
 
 fn evacuate(zone: &str) -> Command {
@@ -70,9 +70,9 @@
 
     fn start(&mut self, me: Ipv4Addr, saved: Saved) {
         let life = self.starts.entry(me).and_modify(|n| *n += 1).or_insert(0);
-        let chest = chest(me, saved.clone(), *life, self.now);
+        let replica = replica(me, saved.clone(), *life, self.now);
         let (results, reads) = (BTreeMap::new(), BTreeMap::new());
-        let machine = Machine { chest, saved, copy: Copy::default(), standing: None, results, reads };
+        let machine = Machine { replica, saved, copy: Copy::default(), standing: None, results, reads };
         self.machines.insert(me, machine);
         self.tell(me, Input::Local(LINK, ToStore::Follow { rev: 0 }));
     }
@@ -82,7 +82,7 @@
         while let Some(input) = inputs.pop_front() {
             let Some(m) = self.machines.get_mut(&me) else { return };
             let mut out = Vec::new();
-            m.chest.handle(self.now, input, &mut out);
+            m.replica.handle(self.now, input, &mut out);
             for output in out {
                 match output {
                     Output::Write(write) => {
@@ -111,7 +111,7 @@
     fn pass(&mut self, us: u64) {
         let end = self.now + us;
         loop {
-            let wakes = self.machines.iter().map(|(ip, m)| (m.chest.wake_at(), *ip)).min();
+            let wakes = self.machines.iter().map(|(ip, m)| (m.replica.wake_at(), *ip)).min();
             let arrives = self.on_the_way.front().map_or(u64::MAX, |m| m.0);
             let (wake, who) = wakes.expect("a machine");
             if wake.min(arrives) > end {
@@ -141,8 +141,8 @@
     }
 
     fn leader(&self) -> Ipv4Addr {
-        let leads = self.machines.iter().filter(|(_, m)| m.chest.leads());
-        leads.max_by_key(|(_, m)| m.chest.standing().term).map(|(ip, _)| *ip).expect("one leads")
+        let leads = self.machines.iter().filter(|(_, m)| m.replica.leads());
+        leads.max_by_key(|(_, m)| m.replica.standing().term).map(|(ip, _)| *ip).expect("one leads")
     }
 
     fn followers(&self) -> Vec<Ipv4Addr> {
@@ -184,7 +184,7 @@
         site.tell(at, Input::Local(LINK, ToStore::Read { ticket: 99 }));
         site.pass(SECOND / 5);
         let rev = site.machines[&at].reads[&99].expect("agreed");
-        assert!(rev >= site.machines[&leader].chest.copy.rev());
+        assert!(rev >= site.machines[&leader].replica.copy.rev());
     }
     let states: BTreeSet<Vec<u8>> = site.machines.values().map(|m| m.copy.state.write(site.now)).collect();
     assert_eq!(states.len(), 1, "all copies are alike");
@@ -202,11 +202,11 @@
     site.pass(SECOND / 10);
     assert!(matches!(site.done(leader, ticket), Some(Ok(_))), "agreed by the two others");
     site.cut.remove(&(leader, behind));
-    let rev = site.machines[&leader].chest.copy.rev();
+    let rev = site.machines[&leader].replica.copy.rev();
     site.pass(3 * SECOND);
     let m = &site.machines[&behind];
-    assert_eq!(m.chest.standing().leader, Some(leader), "it hears who leads");
-    assert!(m.chest.copy.rev() < rev, "and has not what the leader tells of");
+    assert_eq!(m.replica.standing().leader, Some(leader), "it hears who leads");
+    assert!(m.replica.copy.rev() < rev, "and has not what the leader tells of");
     assert_eq!(m.standing, Some((false, false)));
     site.cut.clear();
     site.pass(2 * SECOND);
@@ -236,7 +236,7 @@
     assert_eq!(site.done(leader, ticket), Some(&Err(Unsure::Perhaps)));
     let ticket = site.propose(leader, evacuate("c"));
     assert_eq!(site.done(leader, ticket), Some(&Err(Unsure::Not)));
-    assert!(!site.machines[&leader].chest.fresh());
+    assert!(!site.machines[&leader].replica.fresh());
     // All come back with their disks: what was acknowledged is there.
     site.start(other, kept.saved);
     site.start(first, lost.saved);
@@ -258,15 +258,15 @@
     site.pass(SECOND);
     for (me, m) in &site.machines {
         let base = m.saved.snapshot.index;
-        assert!(base > 250 && base < m.chest.copy.rev(), "a snapshot, and more: {base}");
-        let written = m.chest.copy.state.write(site.now);
-        let again = chest(*me, m.saved.clone(), 1, site.now);
+        assert!(base > 250 && base < m.replica.copy.rev(), "a snapshot, and more: {base}");
+        let written = m.replica.copy.state.write(site.now);
+        let again = replica(*me, m.saved.clone(), 1, site.now);
         let at_snapshot = State::read(site.now, &m.saved.snapshot.data).expect("readable");
         assert_eq!(again.copy.rev(), base, "what follows is known once the others say that it is agreed");
         assert!(at_snapshot.evacuated.len() > 200 && at_snapshot.version() == 1);
         assert_eq!(State::read(site.now, &written).expect("readable").write(site.now), written);
     }
-    let before: Vec<u8> = site.machines[&at].chest.copy.state.write(site.now);
+    let before: Vec<u8> = site.machines[&at].replica.copy.state.write(site.now);
     let all: Vec<(Ipv4Addr, Saved)> = site.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
     site.on_the_way.clear();
     all.into_iter().for_each(|(ip, saved)| site.start(ip, saved));
@@ -285,7 +285,7 @@
     let mut snapshot = (*saved.snapshot).clone();
     snapshot.data[0] = 9;
     saved.snapshot = snapshot.into();
-    let refused = Chest::new(at, 0, saved, Vec::new(), 1, site.now).err().expect("refused");
+    let refused = Replica::new(at, 0, saved, Vec::new(), 1, site.now).err().expect("refused");
     assert!(refused.contains("form 9"), "{refused}");
 }
 
@@ -334,7 +334,7 @@
 fn a_duty_lands_in_its_term_or_never() {
     let mut site = Site::new();
     let (leader, other) = (site.leader(), site.followers()[0]);
-    let term = site.machines[&leader].chest.standing().term;
+    let term = site.machines[&leader].replica.standing().term;
     let duty = |site: &mut Site, at: Ipv4Addr, term: u64, zone: &str| {
         site.tickets += 1;
         let (ticket, command) = (site.tickets, evacuate(zone));
@@ -379,7 +379,7 @@
         let leaver = if leads { leader } else { site.followers()[0] };
         let asked = site.now;
         site.tell(leaver, Input::Stop);
-        while site.machines[&leaver].chest.ends_at().expect("asked") > site.now {
+        while site.machines[&leaver].replica.ends_at().expect("asked") > site.now {
             site.pass(10_000);
         }
         assert!(site.now - asked < SECOND, "with a spare that has caught up that is soon");
@@ -401,7 +401,7 @@
     let mut site = Site::new();
     let (leader, asked) = (site.leader(), site.now);
     site.tell(leader, Input::Stop);
-    let ends = site.machines[&leader].chest.ends_at();
+    let ends = site.machines[&leader].replica.ends_at();
     assert_eq!(ends, Some(asked + 400_000));
     site.pass(400_000);
     assert_ne!(site.leader(), leader, "another leads");
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -2,7 +2,7 @@
 
 use cluster::state::{Command, State};
 use cluster::talk::ToStore;
-use config_store::chest::{Chest, Input, Output};
+use config_store::replica::{Input, Output, Replica};
 use config_store::store;
 use consensus::disk::{self, Store};
 use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
@@ -147,25 +147,26 @@
 /// Machines with stores on disks of the test's own, whose messages all arrive.
 struct Site {
     now: u64,
-    machines: BTreeMap<Ipv4Addr, (Chest, Saved)>,
-    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::chest::Peer)>,
+    machines: BTreeMap<Ipv4Addr, (Replica, Saved)>,
+    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::replica::Peer)>,
     acked: usize,
 }
 
 impl Site {
     fn start(&mut self, who: Ipv4Addr, disk: Disk, saved: Saved) {
         let seeds = vec![ip(1), ip(2), ip(3)];
-        let chest = Chest::new(who, disk, saved.clone(), seeds, disk + u64::from(who.octets()[3]), self.now)
-            .expect("readable");
-        self.machines.insert(who, (chest, saved));
+        let replica =
+            Replica::new(who, disk, saved.clone(), seeds, disk + u64::from(who.octets()[3]), self.now)
+                .expect("readable");
+        self.machines.insert(who, (replica, saved));
     }
 
     fn tell(&mut self, who: Ipv4Addr, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
-            let Some((chest, saved)) = self.machines.get_mut(&who) else { return };
+            let Some((replica, saved)) = self.machines.get_mut(&who) else { return };
             let mut out = Vec::new();
-            chest.handle(self.now, input, &mut out);
+            replica.handle(self.now, input, &mut out);
             for output in out {
                 match output {
                     Output::Write(write) => {
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -9,7 +9,7 @@
 use cluster::booking::{BookChange, Booking, Phase, Unused, divide};
 use cluster::state::{Command, Node, State};
 use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
-use config_store::chest::{self, Chest, Peer};
+use config_store::replica::{self, Peer, Replica};
 use consensus::{Saved, Write};
 use net::limits::Held;
 use proxy::dispatcher::{self, AttemptResult, ClientRequest, Dispatcher, Execution, ServerAnswer};
@@ -81,7 +81,7 @@
 }
 
 pub struct Store {
-    pub chest: Chest,
+    pub replica: Replica,
     fellows: BTreeMap<Ipv4Addr, Tie>,
     taken: BTreeMap<ConnId, Option<Ipv4Addr>>,
     locals: BTreeSet<ConnId>,
@@ -165,7 +165,7 @@
             Owner::Store(n) => {
                 let due = self.stores[n].as_ref().is_some_and(|p| p.wake <= self.now);
                 if due {
-                    self.store(n, Some(chest::Input::Tick));
+                    self.store(n, Some(replica::Input::Tick));
                 }
             }
             Owner::Registry(n) => {
@@ -207,13 +207,13 @@
                     false => (life, Saved::blank()),
                 });
                 let (disk, saved) = saved.clone();
-                let chest = Chest::new(ip, disk, saved, seeds.clone(), life, 0);
-                let chest = chest.expect("a state as it was written");
+                let replica = Replica::new(ip, disk, saved, seeds.clone(), life, 0);
+                let replica = replica.expect("a state as it was written");
                 let (fellows, taken) = Default::default();
                 let (locals, writes) = Default::default();
-                let store = Store { chest, fellows, taken, locals, writes };
+                let store = Store { replica, fellows, taken, locals, writes };
                 self.stores[n] = Some(Process::new(life, now, store));
-                self.store(n, Some(chest::Input::Settings { size, seeds }));
+                self.store(n, Some(replica::Input::Settings { size, seeds }));
             }
             Owner::Registry(n) => {
                 let terms = Terms {
@@ -321,7 +321,7 @@
     pub fn ask_to_end(&mut self, owner: Owner) {
         match owner {
             Owner::Store(n) => {
-                self.store(n, Some(chest::Input::Stop));
+                self.store(n, Some(replica::Input::Stop));
             }
             Owner::Registry(n) => {
                 if let Some(p) = &mut self.registries[n] {
@@ -366,21 +366,21 @@
             }
             Event::Up => {
                 let rose = s.fellows.values_mut().any(|t| t.rose(conn));
-                let iam = Peer::Iam { ip: self.hosts[n].ip, disk: s.chest.disk() };
+                let iam = Peer::Iam { ip: self.hosts[n].ip, disk: s.replica.disk() };
                 if rose {
                     self.send(conn, Owner::Store(n), frame(&iam));
                 }
                 None
             }
             Event::Got(body) if s.locals.contains(&conn) => {
-                read::<ToStore>(&body).map(|m| chest::Input::Local(conn, m))
+                read::<ToStore>(&body).map(|m| replica::Input::Local(conn, m))
             }
             Event::Got(body) => match read::<Peer>(&body) {
                 Some(Peer::Iam { ip, .. }) => {
                     s.taken.insert(conn, Some(ip));
                     None
                 }
-                Some(peer) => s.taken.get(&conn).copied().flatten().map(|ip| chest::Input::Peer(ip, peer)),
+                Some(peer) => s.taken.get(&conn).copied().flatten().map(|ip| replica::Input::Peer(ip, peer)),
                 None => None,
             },
             Event::Down => {
@@ -389,36 +389,36 @@
                     t.fell(now - clock, conn);
                 });
                 s.taken.remove(&conn);
-                s.locals.remove(&conn).then_some(chest::Input::LocalDown(conn))
+                s.locals.remove(&conn).then_some(replica::Input::LocalDown(conn))
             }
         };
         self.store(n, input);
     }
 
-    fn store(&mut self, n: usize, input: Option<chest::Input>) {
+    fn store(&mut self, n: usize, input: Option<replica::Input>) {
         let Some(mut p) = self.stores[n].take() else { return };
         let me = Owner::Store(n);
         self.at_work = Some((me, p.life));
         let now = p.clock(self.now);
         let mut out = Vec::new();
         if let Some(input) = input {
-            p.machine.chest.handle(now, input, &mut out);
+            p.machine.replica.handle(now, input, &mut out);
         }
         let s = &mut p.machine;
         for output in out {
             match output {
-                chest::Output::Peer(ip, peer) => {
+                replica::Output::Peer(ip, peer) => {
                     let tie = s.fellows.entry(ip).or_default();
                     if let Some(conn) = tie.conn.filter(|_| tie.up) {
                         self.send(conn, me, frame(&peer));
                     }
                 }
-                chest::Output::Local(link, message) => {
+                replica::Output::Local(link, message) => {
                     if s.locals.contains(&link) {
                         self.send(link, me, frame(&message));
                     }
                 }
-                chest::Output::Write(write) => s.writes.push_back(write),
+                replica::Output::Write(write) => s.writes.push_back(write),
             }
         }
         if self.disks[n].under_way.is_none()
@@ -429,7 +429,7 @@
             self.at(self.now + took, Ev::Written(n, p.life, write.number));
             self.disks[n].under_way = Some(write);
         }
-        for ip in s.chest.fellows() {
+        for ip in s.replica.fellows() {
             s.fellows.entry(ip).or_default();
         }
         for (ip, tie) in &mut s.fellows {
@@ -442,8 +442,8 @@
             }
         }
         let ties = s.fellows.values().map(Tie::wake_at).min().unwrap_or(Micros::MAX);
-        let wake = s.chest.wake_at().min(ties);
-        let over = s.chest.ends_at().is_some_and(|at| now >= at);
+        let wake = s.replica.wake_at().min(ties);
+        let over = s.replica.ends_at().is_some_and(|at| now >= at);
         self.wake(me, &mut p, wake);
         self.stores[n] = Some(p);
         self.at_work = None;
@@ -461,7 +461,7 @@
         if let (Some(write), Some((_, saved))) = (write, &mut self.disks[n].saved) {
             write.apply(saved);
         }
-        self.store(n, Some(chest::Input::Written(number)));
+        self.store(n, Some(replica::Input::Written(number)));
     }
 
     // ---- the registry ----
@@ -978,7 +978,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.stores.len()).find(|n| self.stores[*n].as_ref().is_some_and(|p| p.machine.chest.leads()))
+        (0..self.stores.len()).find(|n| self.stores[*n].as_ref().is_some_and(|p| p.machine.replica.leads()))
     }
 }
 
