--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The store of configuration. Its decisions stand in [`replica`], around the agreement (`consensus`); `main.rs` is the
-//! shell around them.
+//! The config store: keeps the replicated configuration log on disk. [`replica`] is its state machine around `consensus`,
+//! [`store`] looks after the directory of a store that is not running, and `main.rs` runs the process.
 
 pub mod replica;
 pub mod store;
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,7 +1,7 @@
-//! The shell of the store of configuration: links, disk and time around `config_store::replica`.
+//! The process of the config store: connects `config_store::replica` to the network, the disk and the clock.
 
 use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
-use config_store::replica::{Input, Output, Peer, Replica, Standing};
+use config_store::replica::{Input, Output, Peer, Replica, Status};
 use consensus::disk::Store;
 use consensus::{Saved, Write};
 use miette::{Result, miette};
@@ -17,190 +17,205 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// Between tries of a write that the disk refused.
-const REFUSED: Duration = Duration::from_millis(250);
+/// Delay before a failed write is tried again.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-enum Told {
-    FellowLink(Ipv4Addr, u64, Event<Peer>),
-    FellowTaken(LinkHandle),
-    FellowSays(u64, Event<Peer>),
-    LocalTaken(LinkHandle),
-    LocalSays(u64, Event<ToStore>),
+/// What other threads post to the event loop. The `u64` of a link event is the number of the link.
+enum Message {
+    /// An event on the link that this store opened to another one.
+    PeerOutbound(Ipv4Addr, u64, Event<Peer>),
+    PeerAccepted(LinkHandle),
+    /// An event on a link that another store opened.
+    PeerInbound(u64, Event<Peer>),
+    LocalAccepted(LinkHandle),
+    /// An event on a link that a registry on this machine opened.
+    LocalInbound(u64, Event<ToStore>),
+    /// The write with this number is synced to disk.
     Written(u64),
-    Asked(SignalEvent),
+    Signal(SignalEvent),
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-config-store", "Keeps what curlewfront's machines agree on", work)
+    runtime::run(
+        "curlewfront-config-store",
+        "Keeps the replicated configuration state of curlewfront's core machines",
+        start,
+    )
 }
 
-/// So many that a majority is left when those are lost whose loss is to be borne; none: not told.
+/// The number of core members that still has a majority after the tolerated machine losses: 2f + 1. `None` if the settings
+/// name no tolerated losses.
 fn core_size(settings: &Settings) -> Option<usize> {
     let losses = usize::try_from(settings.tolerance.machines).ok().filter(|f| *f > 0)?;
     Some(losses.saturating_mul(2).saturating_add(1))
 }
 
-fn work(mut start: Runtime) -> Result<()> {
-    let stage = start.event_loop::<Told>()?;
-    let inbox = stage.inbox.clone();
-    let (me, seeds) = (start.settings.ip, start.seeds());
-    let dir = start.settings.data_directory.clone();
+fn start(mut runtime: Runtime) -> Result<()> {
+    let event_loop = runtime.event_loop::<Message>()?;
+    let inbox = event_loop.inbox.clone();
+    let (me, seeds) = (runtime.settings.ip, runtime.seeds());
+    let dir = runtime.settings.data_directory.clone();
     let dir = dir.ok_or_else(|| miette!("self_node.data_directory: the store needs a disk"))?;
-    let founds = start.settings.initial_start && seeds.contains(&me);
-    let (life, founders) = (start.life, seeds.clone());
-    let fresh = move || match founds {
+    let is_founder = runtime.settings.initial_start && seeds.contains(&me);
+    let (incarnation, founders) = (runtime.life, seeds.clone());
+    // For a disk without a store: founders start with disk number 0, later members with a random one.
+    let initial = move || match is_founder {
         true => (0, Saved::founding(founders.clone())),
-        false => (life, Saved::blank()),
+        false => (incarnation, Saved::blank()),
     };
-    let (store, saved) = Store::open(&dir, me, fresh).map_err(|e| miette!("{e}"))?;
-    let now = stage.clock.now();
-    let replica = Replica::new(me, store.disk(), saved, seeds.clone(), start.life, now);
+    let (store, saved) = Store::open(&dir, me, initial).map_err(|e| miette!("{e}"))?;
+    let now = event_loop.clock.now();
+    let replica = Replica::new(me, store.disk(), saved, seeds.clone(), runtime.life, now);
     let mut replica = replica.map_err(|e| miette!("{}: {e}", dir.display()))?;
     let mut out = Vec::new();
-    replica.handle(now, Input::Settings { size: core_size(&start.settings), seeds }, &mut out);
+    replica.handle(now, Input::Settings { size: core_size(&runtime.settings), seeds }, &mut out);
     log::info!("disk {} at revision {}", replica.disk(), replica.copy.rev());
 
     let (writes, to_write) = channel();
-    write(store, dir, me, to_write, inbox.clone())?;
-    let peers_port = start.listen(STORE_PEERS, &inbox, Told::FellowTaken, Told::FellowSays)?.port();
-    start.listen(STORE_LOCAL, &inbox, Told::LocalTaken, Told::LocalSays)?;
-    let posts = inbox.clone();
-    start.on_signal(move |asked| posts.post(Told::Asked(asked)))?;
+    spawn_writer(store, dir, me, to_write, inbox.clone())?;
+    let peers_port = runtime.listen(STORE_PEERS, &inbox, Message::PeerAccepted, Message::PeerInbound)?.port();
+    runtime.listen(STORE_LOCAL, &inbox, Message::LocalAccepted, Message::LocalInbound)?;
+    let signal_inbox = inbox.clone();
+    runtime.on_signal(move |event| signal_inbox.post(Message::Signal(event)))?;
 
-    let (over, ended) = channel();
-    let (fellows, taken, locals) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-    let shell = Shell {
+    let (finished, on_finished) = channel();
+    let (peers, accepted, locals) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+    let process = StoreProcess {
         replica,
         me,
         peers_port,
-        fellows,
-        taken,
+        peers,
+        accepted,
         locals,
         writes,
         inbox,
         out,
-        over,
-        stood: Standing::default(),
+        finished,
+        logged_status: Status::default(),
     };
-    stage.run(shell, &ended)
+    event_loop.run(process, &on_finished)
 }
 
-/// Writes on a thread of its own: a disk may take long. A write that is refused is tried again, on the store opened
-/// anew, until it is taken: what was acknowledged rests on it.
-fn write(
+/// Starts the thread that writes to the disk, as a write may take long. A failed write is tried again, on the store opened
+/// anew, until it succeeds: acknowledgements depend on it.
+fn spawn_writer(
     store: Store,
     dir: PathBuf,
     me: Ipv4Addr,
     writes: Receiver<Write>,
-    inbox: Inbox<Told>,
+    inbox: Inbox<Message>,
 ) -> Result<()> {
     let thread = std::thread::Builder::new().name("disk".into()).stack_size(256 * 1024);
     let started = thread.spawn(move || {
         let mut store = Some(store);
         for write in writes {
             loop {
-                let done = match &store {
+                let result = match &store {
                     Some(open) => open.write(&write),
                     None => Err(consensus::disk::DiskError {
                         file: dir.clone(),
-                        what: "cannot be opened again".into(),
+                        what: "cannot be reopened after a failed write".into(),
                         full: false,
                     }),
                 };
-                let Err(why) = done else { break };
-                log::error!("{why}");
-                runtime::log_buffer::dump("the disk refuses a write");
-                std::thread::sleep(REFUSED);
+                let Err(error) = result else { break };
+                log::error!("{error}");
+                runtime::log_buffer::dump("a write to the disk failed");
+                std::thread::sleep(WRITE_RETRY_DELAY);
                 drop(store.take());
-                // It was made long ago: there is nothing to begin with.
+                // The store exists already, so the initial content is never used.
                 store = Store::open(&dir, me, || (0, Saved::blank())).ok().map(|(open, _)| open);
             }
-            inbox.post(Told::Written(write.number));
+            inbox.post(Message::Written(write.number));
         }
     });
     started.map(|_| ()).map_err(|e| miette!("cannot start a thread: {e}"))
 }
 
-struct Shell {
+struct StoreProcess {
     replica: Replica,
     me: Ipv4Addr,
     peers_port: u16,
-    fellows: BTreeMap<Ipv4Addr, ReconnectingLink>,
-    /// Links that fellows opened: who is at the other end, once told.
-    taken: BTreeMap<u64, (LinkHandle, Option<Ipv4Addr>)>,
+    /// Links that this store opened to other stores.
+    peers: BTreeMap<Ipv4Addr, ReconnectingLink>,
+    /// Links that other stores opened, by number, with the address of the store once it has introduced itself.
+    accepted: BTreeMap<u64, (LinkHandle, Option<Ipv4Addr>)>,
+    /// Links of registries on this machine, by number.
     locals: BTreeMap<u64, LinkHandle>,
     writes: Sender<Write>,
-    inbox: Inbox<Told>,
+    inbox: Inbox<Message>,
     out: Vec<Output>,
-    over: Sender<()>,
-    stood: Standing,
+    /// Signalled when the process may exit.
+    finished: Sender<()>,
+    /// The status that was logged last.
+    logged_status: Status,
 }
 
-impl StateMachine for Shell {
-    type Message = Told;
+impl StateMachine for StoreProcess {
+    type Message = Message;
 
-    fn handle(&mut self, now: Micros, told: Option<Told>) {
-        let input = match told {
+    fn handle(&mut self, now: Micros, message: Option<Message>) {
+        let input = match message {
             None => Some(Input::Tick),
-            Some(Told::FellowLink(ip, link, event)) => {
-                let iam = Peer::Iam { ip: self.me, disk: self.replica.disk() };
-                if let Some(tie) = self.fellows.get_mut(&ip) {
+            Some(Message::PeerOutbound(ip, link, event)) => {
+                let introduction = Peer::Iam { ip: self.me, disk: self.replica.disk() };
+                if let Some(outbound) = self.peers.get_mut(&ip) {
                     match event {
-                        Event::Up if tie.on_up(link) => tie.send(&iam),
+                        Event::Up if outbound.on_up(link) => outbound.send(&introduction),
                         Event::Down => {
-                            tie.on_down(now, link);
+                            outbound.on_down(now, link);
                         }
                         _ => {}
                     }
                 }
                 None
             }
-            Some(Told::FellowTaken(line)) => {
-                self.taken.insert(line.number, (line, None));
+            Some(Message::PeerAccepted(handle)) => {
+                self.accepted.insert(handle.number, (handle, None));
                 None
             }
-            Some(Told::FellowSays(link, Event::Received(Peer::Iam { ip, .. }))) => {
-                if let Some(taken) = self.taken.get_mut(&link) {
-                    taken.1 = Some(ip);
+            Some(Message::PeerInbound(link, Event::Received(Peer::Iam { ip, .. }))) => {
+                if let Some(accepted) = self.accepted.get_mut(&link) {
+                    accepted.1 = Some(ip);
                 }
-                if let Some(tie) = self.fellows.get_mut(&ip) {
-                    tie.on_peer_connected(now);
+                if let Some(outbound) = self.peers.get_mut(&ip) {
+                    outbound.on_peer_connected(now);
                 }
                 None
             }
-            Some(Told::FellowSays(link, Event::Received(peer))) => {
-                let from = self.taken.get(&link).and_then(|t| t.1);
+            Some(Message::PeerInbound(link, Event::Received(peer))) => {
+                let from = self.accepted.get(&link).and_then(|t| t.1);
                 from.map(|ip| Input::Peer(ip, peer))
             }
-            Some(Told::FellowSays(link, Event::Down)) => {
-                self.taken.remove(&link);
+            Some(Message::PeerInbound(link, Event::Down)) => {
+                self.accepted.remove(&link);
                 None
             }
-            Some(Told::LocalTaken(line)) => {
-                self.locals.insert(line.number, line);
+            Some(Message::LocalAccepted(handle)) => {
+                self.locals.insert(handle.number, handle);
                 None
             }
-            Some(Told::LocalSays(link, Event::Received(message))) => Some(Input::Local(link, message)),
-            Some(Told::LocalSays(link, Event::Down)) => {
+            Some(Message::LocalInbound(link, Event::Received(message))) => Some(Input::Local(link, message)),
+            Some(Message::LocalInbound(link, Event::Down)) => {
                 self.locals.remove(&link);
                 Some(Input::LocalDown(link))
             }
-            Some(Told::FellowSays(_, Event::Up) | Told::LocalSays(_, Event::Up)) => None,
-            Some(Told::Written(number)) => Some(Input::Written(number)),
-            Some(Told::Asked(SignalEvent::Stop)) => Some(Input::Stop),
-            Some(Told::Asked(SignalEvent::Settings(settings))) => {
+            Some(Message::PeerInbound(_, Event::Up) | Message::LocalInbound(_, Event::Up)) => None,
+            Some(Message::Written(number)) => Some(Input::Written(number)),
+            Some(Message::Signal(SignalEvent::Stop)) => Some(Input::Stop),
+            Some(Message::Signal(SignalEvent::Settings(settings))) => {
                 Some(Input::Settings { size: core_size(&settings), seeds: runtime::seeds(&settings) })
             }
         };
         if let Some(input) = input {
             self.replica.handle(now, input, &mut self.out);
-            let stands = self.replica.standing();
-            if stands != self.stood {
-                log::info!("{stands}");
-                self.stood = stands;
+            let status = self.replica.status();
+            if status != self.logged_status {
+                log::info!("{status}");
+                self.logged_status = status;
                 if let Some(why) = self.replica.unreadable() {
-                    log::error!("{why}; start the program of the other stores on this disk");
-                    runtime::log_buffer::dump("what the others agree on cannot be read");
+                    log::error!("{why}; start this store with the program version that the other stores run");
+                    runtime::log_buffer::dump("the committed log cannot be decoded");
                 }
             }
         }
@@ -208,35 +223,37 @@
             match output {
                 Output::Peer(ip, peer) => {
                     let port = self.peers_port;
-                    let tie =
-                        self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
-                    tie.send(&peer);
+                    let outbound =
+                        self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
+                    outbound.send(&peer);
                 }
                 Output::Local(link, message) => {
-                    if let Some(line) = self.locals.get(&link) {
-                        line.send(&message);
+                    if let Some(handle) = self.locals.get(&link) {
+                        handle.send(&message);
                     }
                 }
-                // The thread lives as long as the program.
+                // The writer thread lives as long as the process, so the channel is open.
                 Output::Write(write) => drop(self.writes.send(write)),
             }
         }
         let port = self.peers_port;
-        for ip in self.replica.fellows() {
-            self.fellows.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
+        for ip in self.replica.peers() {
+            self.peers.entry(ip).or_insert_with(|| ReconnectingLink::new((ip, port).into()));
         }
-        // Also to those that are no fellows yet: a leader brings a newcomer up to date before it is one.
-        for (ip, tie) in &mut self.fellows {
+        // Includes links to stores that are not members yet: a leader brings a new store up to date before it becomes one.
+        for (ip, outbound) in &mut self.peers {
             let (ip, inbox) = (*ip, self.inbox.clone());
-            tie.maintain(now, ACK_TIMEOUT, move |link, event| inbox.post(Told::FellowLink(ip, link, event)));
+            outbound.maintain(now, ACK_TIMEOUT, move |link, event| {
+                inbox.post(Message::PeerOutbound(ip, link, event))
+            });
         }
         if self.replica.ends_at().is_some_and(|at| now >= at) {
-            let _ = self.over.send(());
+            let _ = self.finished.send(());
         }
     }
 
     fn wake_at(&mut self) -> Micros {
-        let ties = self.fellows.values().map(ReconnectingLink::wake_at).min().unwrap_or(Micros::MAX);
-        self.replica.wake_at().min(ties)
+        let links = self.peers.values().map(ReconnectingLink::wake_at).min().unwrap_or(Micros::MAX);
+        self.replica.wake_at().min(links)
     }
 }
--- a/crates/config-store/src/replica.rs
+++ b/crates/config-store/src/replica.rs
@@ -1,4 +1,5 @@
-//! The store as a state machine: the agreement, the state that its log makes, and those who follow it. No I/O, no clock.
+//! The config store as a state machine: the consensus member, the state that its log produces, and the local registries
+//! that follow that state. It does no I/O and reads no clock: inputs carry events and the time, outputs say what to do.
 
 use cluster::copy::Copy;
 use cluster::state::{Command, Done, State};
@@ -13,14 +14,15 @@
 pub enum Input {
     Tick,
     Peer(Ipv4Addr, Peer),
-    /// By a registry that is linked to this store.
+    /// A message from a registry on this machine, with the number of its link.
     Local(u64, ToStore),
     LocalDown(u64),
+    /// The write with this number is synced to disk.
     Written(u64),
     WriteFailed,
-    /// The program is about to end: it may once [`Replica::ends_at`] has come.
+    /// The process has been asked to stop; it may exit at [`Replica::ends_at`].
     Stop,
-    /// As the settings have it: how many members the core is to have, and who is asked for the group.
+    /// From the settings: the target number of voting members, and the machines to ask for the group.
     Settings {
         size: Option<usize>,
         seeds: Vec<Ipv4Addr>,
@@ -34,35 +36,38 @@
     Write(Write),
 }
 
-/// How often followers are told how this store stands, if nothing changes and none asks.
-const STANDING_US: Micros = 500_000;
-/// Between two questions to the leader of how far the log is agreed.
-const ASK_US: Micros = 300_000;
-/// Who was not called for so long, though it wanted to be, was stopped: its own timers come before what is waiting.
-const AWAY_US: Micros = 2 * ASK_US;
-/// A call handed to the leader is given up after so long.
-const HANDED_US: Micros = 1_000_000;
-/// A store that is asked to end waits so long for another to lead, or to take its place.
-const HAND_OVER_US: Micros = 400_000;
-/// While another is taking its place it goes on, so long at most, and this much beyond the moment that it is done: the
-/// others are to know it, too.
-const REPLACED_US: Micros = 2_500_000;
+/// Period of the status messages to followers while nothing changes and none asks.
+const STATUS_PERIOD_US: Micros = 500_000;
+/// Period of the reads that ask the leader for the commit index, which keep this replica fresh.
+const FRESHNESS_READ_PERIOD_US: Micros = 300_000;
+/// A replica is woken at least every [`FRESHNESS_READ_PERIOD_US`]: after a longer gap than this its process was suspended,
+/// and its timers run before the inputs that have queued up.
+const SUSPENDED_US: Micros = 2 * FRESHNESS_READ_PERIOD_US;
+/// Timeout of a call that was forwarded to the leader.
+const FORWARD_TIMEOUT_US: Micros = 1_000_000;
+/// How long a stopping replica waits for another one to become leader or to start replacing it.
+const HANDOVER_TIMEOUT_US: Micros = 400_000;
+/// Upper limit on the wait of a stopping replica while another one is replacing it.
+const REPLACEMENT_TIMEOUT_US: Micros = 2_500_000;
+/// How long a stopping replica runs on after it was replaced, so that the other members learn of the replacement.
 const LINGER_US: Micros = 150_000;
-/// Entries applied between two snapshots, and, in states of this one's size, their bytes.
-const SNAPSHOT_EVERY: u64 = 256;
-const SNAPSHOT_STATES: usize = 4;
-/// Calls are numbered from here on in each life, by what the life was drawn: an answer to a call of another life, which the
-/// leader still had, must not be taken for that to a call of this one.
-fn first_ticket(life: u64) -> u64 {
-    (life & LIFE_BITS) << CALL_BITS
+/// Number of applied entries after which a snapshot is made.
+const SNAPSHOT_ENTRIES: u64 = 256;
+/// A snapshot is also made when the entries since the last one take this many times its size; a small
+/// snapshot counts as the least size that consensus uses for it.
+const SNAPSHOT_SIZE_FACTOR: usize = 4;
+/// The ticket after which a process numbers its calls. Each incarnation has a range of its own: the leader may still answer
+/// a call of an earlier incarnation, and that answer must not be taken for one to a call of this incarnation.
+fn first_ticket(incarnation: u64) -> u64 {
+    (incarnation & INCARNATION_MASK) << TICKET_BITS
 }
-/// So many calls of a life are told apart, and so many lives.
-const CALL_BITS: u32 = 28;
-const LIFE_BITS: u64 = (1 << 28) - 1;
-/// Results kept until their callers are told.
-const RESULTS: usize = 1024;
+/// Bits of a ticket that number the calls of one incarnation; the incarnation is in the bits above.
+const TICKET_BITS: u32 = 28;
+const INCARNATION_MASK: u64 = (1 << 28) - 1;
+/// Number of results of applied entries that are kept for the proposals waiting for them.
+const MAX_RESULTS: usize = 1024;
 
-/// Who waits for an answer.
+/// Where the answer to a call goes.
 #[derive(Clone, Copy, Debug)]
 enum Caller {
     Local {
@@ -73,42 +78,45 @@
         ip: Ipv4Addr,
         ticket: u64,
     },
-    /// This store, to know whether it is fresh.
-    Own {
-        asked: Micros,
+    /// This replica, to learn whether it is fresh.
+    Freshness {
+        asked_at: Micros,
     },
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Call {
+enum CallKind {
     Propose,
     Read,
 }
 
-struct Handed {
+/// A call that was forwarded to the leader.
+struct ForwardedCall {
     caller: Caller,
-    call: Call,
-    until: Micros,
+    kind: CallKind,
+    deadline: Micros,
 }
 
-/// How a store stands, for its log.
+/// The state of a replica as it is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     pub leader: Option<Ipv4Addr>,
     pub term: u64,
     pub fresh: bool,
 }
 
-impl std::fmt::Display for Standing {
+impl std::fmt::Display for Status {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let fresh = if self.fresh { "fresh" } else { "not fresh" };
         match self.leader {
-            Some(leader) => write!(f, "term {}: follows {leader}, {fresh}", self.term),
-            None => write!(f, "term {}: nobody leads, {fresh}", self.term),
+            Some(leader) => write!(f, "term {}: following {leader}, {fresh}", self.term),
+            None => write!(f, "term {}: no leader, {fresh}", self.term),
         }
     }
 }
 
+/// One replica of the configuration state: takes part in consensus, applies committed commands, and serves the registries
+/// on its machine and the calls that other stores forward to it.
 pub struct Replica {
     me: Ipv4Addr,
     disk: Disk,
@@ -117,42 +125,46 @@
     out: consensus::Output,
     pub copy: Copy,
     seeds: Vec<Ipv4Addr>,
+    /// By link, the registries on this machine and the revision up to which each has been sent the state.
     followers: BTreeMap<u64, Rev>,
-    /// The last question of each that was answered or is now.
-    asked: BTreeMap<u64, Micros>,
-    /// Calls under way here, and those handed to the leader, by our ticket.
-    calls: BTreeMap<u64, (Caller, Call)>,
-    handed: BTreeMap<u64, Handed>,
-    tickets: u64,
-    /// What became of the last entries.
+    /// By link, the time (by the registry's clock) of its last status query; it goes back with the status.
+    status_queries: BTreeMap<u64, Micros>,
+    /// Calls in progress in consensus here, by ticket.
+    pending: BTreeMap<u64, (Caller, CallKind)>,
+    /// Calls forwarded to the leader, by ticket.
+    forwarded: BTreeMap<u64, ForwardedCall>,
+    last_ticket: u64,
+    /// Results of the entries applied last.
     results: VecDeque<(Rev, Done)>,
-    /// Committed here, not applied yet.
-    settled: Vec<(Caller, Rev)>,
+    /// Proposals that are committed and not yet applied here.
+    committed: Vec<(Caller, Rev)>,
     snapshot_at: Rev,
-    /// Bytes of the last snapshot, and of the entries after it.
+    /// Size of the last snapshot in bytes.
     snapshot_bytes: usize,
-    since_bytes: usize,
-    /// What the others agree on that this program cannot read: it takes no part any more.
+    /// Size of the entries applied since the last snapshot, in bytes.
+    bytes_since_snapshot: usize,
+    /// Set when the committed log or snapshot cannot be decoded by this version; the replica then takes no further part.
     unreadable: Option<String>,
-    stood: Option<(Vec<Ipv4Addr>, bool, bool, u64)>,
-    standing_at: Micros,
-    /// When it was asked to end, and when it may.
-    stops: Option<(Micros, Micros)>,
-    ask_at: Micros,
-    /// Asked then, the log was agreed up to there.
-    agreed: VecDeque<(Micros, Rev)>,
-    /// The latest of those times whose entries are all in the copy here.
+    /// What followers were last told: core members, whether fresh, whether leader, term.
+    reported: Option<(Vec<Ipv4Addr>, bool, bool, u64)>,
+    next_status_at: Micros,
+    /// When it was asked to stop, and when the process may exit.
+    stopping: Option<(Micros, Micros)>,
+    next_freshness_read_at: Micros,
+    /// Answered freshness reads whose revision is not applied yet: when each was asked, and that revision.
+    freshness_reads: VecDeque<(Micros, Rev)>,
+    /// Start time of the latest freshness read whose revision is applied here.
     fresh_at: Option<Micros>,
 }
 
 impl Replica {
-    /// `saved`: what is on disk number `disk`; `life`: drawn at each start.
+    /// `saved`: the content of disk number `disk`; `incarnation`: a random number drawn at each start.
     pub fn new(
         me: Ipv4Addr,
         disk: Disk,
         saved: Saved,
         seeds: Vec<Ipv4Addr>,
-        life: u64,
+        incarnation: u64,
         now: Micros,
     ) -> Result<Replica, String> {
         let mut state = State::default();
@@ -161,7 +173,7 @@
         }
         state.rev = state.rev.max(saved.snapshot.index);
         let (snapshot_at, snapshot_bytes) = (state.rev, saved.snapshot.data.len());
-        let consensus = Ratchet::new(me, disk, saved, life, Timing::default(), now);
+        let consensus = Ratchet::new(me, disk, saved, incarnation, Timing::default(), now);
         let mut replica = Replica {
             me,
             disk,
@@ -171,21 +183,21 @@
             copy: Copy::of(state),
             seeds: seeds.clone(),
             followers: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            handed: BTreeMap::new(),
-            tickets: first_ticket(life),
+            status_queries: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            forwarded: BTreeMap::new(),
+            last_ticket: first_ticket(incarnation),
             results: VecDeque::new(),
-            settled: Vec::new(),
+            committed: Vec::new(),
             snapshot_at,
             snapshot_bytes,
-            since_bytes: 0,
+            bytes_since_snapshot: 0,
             unreadable: None,
-            stood: None,
-            standing_at: now,
-            stops: None,
-            ask_at: now,
-            agreed: VecDeque::new(),
+            reported: None,
+            next_status_at: now,
+            stopping: None,
+            next_freshness_read_at: now,
+            freshness_reads: VecDeque::new(),
             fresh_at: None,
         };
         replica.consensus.handle(now, consensus::Input::Seeds(seeds), &mut replica.out);
@@ -196,50 +208,50 @@
         self.disk
     }
 
-    /// The other stores that it speaks with.
-    pub fn fellows(&self) -> BTreeSet<Ipv4Addr> {
+    /// The other stores to connect to: the members of the core and the seeds.
+    pub fn peers(&self) -> BTreeSet<Ipv4Addr> {
         let members = self.consensus.roster().members.keys().copied();
         members.chain(self.seeds.iter().copied()).filter(|ip| *ip != self.me).collect()
     }
 
     pub fn wake_at(&self) -> Micros {
-        let handed = self.handed.values().map(|h| h.until).min().unwrap_or(Micros::MAX);
-        let ends = self.stops.map_or(Micros::MAX, |(_, at)| if at > self.now { at } else { Micros::MAX });
-        self.out.wake_at.min(handed).min(self.standing_at).min(self.ask_at).min(ends)
+        let forwarded = self.forwarded.values().map(|f| f.deadline).min().unwrap_or(Micros::MAX);
+        let ends = self.stopping.map_or(Micros::MAX, |(_, at)| if at > self.now { at } else { Micros::MAX });
+        self.out.wake_at.min(forwarded).min(self.next_status_at).min(self.next_freshness_read_at).min(ends)
     }
 
-    /// When the program may end, once it was asked to.
+    /// When the process may exit, if it was asked to stop.
     pub fn ends_at(&self) -> Option<Micros> {
-        self.stops.map(|(_, at)| at)
+        self.stopping.map(|(_, at)| at)
     }
 
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        let away = now > self.now + AWAY_US;
+        let was_suspended = now > self.now + SUSPENDED_US;
         self.now = self.now.max(now);
-        if away {
-            // It leads no longer, if nobody has answered meanwhile: what comes now must not be taken as if it did.
-            self.agree(consensus::Input::Tick, out);
+        if was_suspended {
+            // Steps down if no majority has answered meanwhile: the input must not be handled as if it still led.
+            self.step_consensus(consensus::Input::Tick, out);
         }
         match input {
-            Input::Tick => self.agree(consensus::Input::Tick, out),
-            Input::Written(number) => self.agree(consensus::Input::Written { number }, out),
-            Input::WriteFailed => self.agree(consensus::Input::WriteFailed, out),
+            Input::Tick => self.step_consensus(consensus::Input::Tick, out),
+            Input::Written(number) => self.step_consensus(consensus::Input::Written { number }, out),
+            Input::WriteFailed => self.step_consensus(consensus::Input::WriteFailed, out),
             Input::Stop => {
-                self.stops.get_or_insert((self.now, self.now + HAND_OVER_US));
-                self.agree(consensus::Input::Yield, out);
+                self.stopping.get_or_insert((self.now, self.now + HANDOVER_TIMEOUT_US));
+                self.step_consensus(consensus::Input::Yield, out);
             }
             Input::Settings { size, seeds } => {
                 if let Some(size) = size {
-                    self.agree(consensus::Input::Size(size), out);
+                    self.step_consensus(consensus::Input::Size(size), out);
                 }
                 self.seeds = seeds.clone();
-                self.agree(consensus::Input::Seeds(seeds), out);
+                self.step_consensus(consensus::Input::Seeds(seeds), out);
             }
-            Input::Peer(ip, peer) => self.peer(ip, peer, out),
+            Input::Peer(ip, peer) => self.handle_peer(ip, peer, out),
             Input::Local(link, ToStore::Follow { rev }) => {
                 self.followers.insert(link, rev);
-                self.stood = None;
-                self.feed(link, out);
+                self.reported = None;
+                self.send_news(link, out);
             }
             Input::Local(link, ToStore::Propose { ticket, command }) => {
                 self.propose(Caller::Local { link, ticket }, command, true, out);
@@ -248,228 +260,234 @@
                 self.read(Caller::Local { link, ticket }, true, out);
             }
             Input::Local(link, ToStore::Stand { asked }) => {
-                self.asked.insert(link, asked);
-                self.stood = None;
+                self.status_queries.insert(link, asked);
+                self.reported = None;
             }
             Input::Local(link, ToStore::Duty { ticket, term, command }) => {
                 let caller = Caller::Local { link, ticket };
                 match self.leads() && self.consensus.term() == term {
                     true => self.propose(caller, command, false, out),
-                    false => self.tell(caller, Call::Propose, Err(Unsure::Not), out),
+                    false => self.answer(caller, CallKind::Propose, Err(Unsure::Not), out),
                 }
             }
             Input::LocalDown(link) => {
                 self.followers.remove(&link);
-                self.asked.remove(&link);
+                self.status_queries.remove(&link);
             }
         }
-        if self.now >= self.ask_at {
-            self.ask_at = self.now + ASK_US;
-            // Spares ask, too: what was agreed and is here makes a copy fresh, whoever counts.
+        if self.now >= self.next_freshness_read_at {
+            self.next_freshness_read_at = self.now + FRESHNESS_READ_PERIOD_US;
+            // Non-voting replicas read as well: a copy that holds all committed entries is fresh whether or not it votes.
             if self.consensus.standing() || self.consensus.leader().is_some() {
-                self.read(Caller::Own { asked: self.now }, true, out);
+                self.read(Caller::Freshness { asked_at: self.now }, true, out);
             }
         }
-        if let Some((asked, at)) = &mut self.stops
+        if let Some((asked_at, exit_at)) = &mut self.stopping
             && self.consensus.is_being_replaced()
         {
-            *at = (*at).max(self.now + LINGER_US).min(*asked + REPLACED_US);
+            *exit_at = (*exit_at).max(self.now + LINGER_US).min(*asked_at + REPLACEMENT_TIMEOUT_US);
         }
-        self.give_up(out);
-        self.stand(out);
+        self.expire_forwarded(out);
+        self.report_status(out);
     }
 
     // ---- calls ----
 
-    fn ticket(&mut self) -> u64 {
-        self.tickets += 1;
-        self.tickets
+    fn next_ticket(&mut self) -> u64 {
+        self.last_ticket += 1;
+        self.last_ticket
     }
 
-    /// Here if this store leads, else by who does; `hand_on`: it has not been handed on before.
-    fn propose(&mut self, caller: Caller, command: Command, hand_on: bool, out: &mut Vec<Output>) {
-        let ticket = self.ticket();
+    /// Proposes the command here if this replica leads, else forwards it to the leader. `may_forward`: false for a call
+    /// that was forwarded already, or that only this replica may take.
+    fn propose(&mut self, caller: Caller, command: Command, may_forward: bool, out: &mut Vec<Output>) {
+        let ticket = self.next_ticket();
         match self.consensus.leader() {
             Some(leader) if leader == self.me => {
-                self.calls.insert(ticket, (caller, Call::Propose));
+                self.pending.insert(ticket, (caller, CallKind::Propose));
                 let data = postcard::to_stdvec(&command).expect("plain data");
-                self.agree(consensus::Input::Propose { ticket, data }, out);
+                self.step_consensus(consensus::Input::Propose { ticket, data }, out);
             }
-            Some(leader) if hand_on => {
-                let until = self.now + HANDED_US;
-                self.handed.insert(ticket, Handed { caller, call: Call::Propose, until });
+            Some(leader) if may_forward => {
+                let deadline = self.now + FORWARD_TIMEOUT_US;
+                self.forwarded.insert(ticket, ForwardedCall { caller, kind: CallKind::Propose, deadline });
                 out.push(Output::Peer(leader, Peer::Propose { ticket, command }));
             }
-            _ => self.tell(caller, Call::Propose, Err(Unsure::Not), out),
+            _ => self.answer(caller, CallKind::Propose, Err(Unsure::Not), out),
         }
     }
 
-    fn read(&mut self, caller: Caller, hand_on: bool, out: &mut Vec<Output>) {
-        let ticket = self.ticket();
+    /// Reads the commit index here if this replica leads, else from the leader.
+    fn read(&mut self, caller: Caller, may_forward: bool, out: &mut Vec<Output>) {
+        let ticket = self.next_ticket();
         match self.consensus.leader() {
             Some(leader) if leader == self.me => {
-                self.calls.insert(ticket, (caller, Call::Read));
-                self.agree(consensus::Input::Read { ticket }, out);
+                self.pending.insert(ticket, (caller, CallKind::Read));
+                self.step_consensus(consensus::Input::Read { ticket }, out);
             }
-            Some(leader) if hand_on => {
-                let until = self.now + HANDED_US;
-                self.handed.insert(ticket, Handed { caller, call: Call::Read, until });
+            Some(leader) if may_forward => {
+                let deadline = self.now + FORWARD_TIMEOUT_US;
+                self.forwarded.insert(ticket, ForwardedCall { caller, kind: CallKind::Read, deadline });
                 out.push(Output::Peer(leader, Peer::Read { ticket }));
             }
-            _ => self.tell(caller, Call::Read, Err(Unsure::Not), out),
+            _ => self.answer(caller, CallKind::Read, Err(Unsure::Not), out),
         }
     }
 
-    fn tell(
+    fn answer(
         &mut self,
         caller: Caller,
-        call: Call,
+        kind: CallKind,
         result: Result<(Rev, Done), Unsure>,
         out: &mut Vec<Output>,
     ) {
-        let reads = result.as_ref().map(|(rev, _)| *rev).map_err(|e| *e);
-        if let Caller::Own { asked } = caller {
-            self.agreed.extend(reads.ok().map(|rev| (asked, rev)));
+        let read_result = result.as_ref().map(|(rev, _)| *rev).map_err(|e| *e);
+        if let Caller::Freshness { asked_at } = caller {
+            self.freshness_reads.extend(read_result.ok().map(|rev| (asked_at, rev)));
             return;
         }
-        out.push(match (caller, call) {
-            (Caller::Local { link, ticket }, Call::Propose) => {
+        out.push(match (caller, kind) {
+            (Caller::Local { link, ticket }, CallKind::Propose) => {
                 Output::Local(link, FromStore::Proposed { ticket, result })
             }
-            (Caller::Local { link, ticket }, Call::Read) => {
-                Output::Local(link, FromStore::Reads { ticket, result: reads })
+            (Caller::Local { link, ticket }, CallKind::Read) => {
+                Output::Local(link, FromStore::Reads { ticket, result: read_result })
             }
-            (Caller::Peer { ip, ticket }, Call::Propose) => {
+            (Caller::Peer { ip, ticket }, CallKind::Propose) => {
                 Output::Peer(ip, Peer::Proposed { ticket, result })
             }
-            (Caller::Peer { ip, ticket }, Call::Read) => {
-                Output::Peer(ip, Peer::Reads { ticket, result: reads })
+            (Caller::Peer { ip, ticket }, CallKind::Read) => {
+                Output::Peer(ip, Peer::Reads { ticket, result: read_result })
             }
-            (Caller::Own { .. }, _) => return,
+            (Caller::Freshness { .. }, _) => return,
         });
     }
 
-    fn peer(&mut self, ip: Ipv4Addr, peer: Peer, out: &mut Vec<Output>) {
+    fn handle_peer(&mut self, ip: Ipv4Addr, peer: Peer, out: &mut Vec<Output>) {
         match peer {
             Peer::Iam { .. } => {}
             Peer::Agree { from_disk, message } => {
-                self.agree(consensus::Input::Message { from: ip, from_disk, message }, out);
+                self.step_consensus(consensus::Input::Message { from: ip, from_disk, message }, out);
             }
             Peer::Propose { ticket, command } => {
                 self.propose(Caller::Peer { ip, ticket }, command, false, out);
             }
             Peer::Read { ticket } => self.read(Caller::Peer { ip, ticket }, false, out),
             Peer::Proposed { ticket, result } => {
-                if let Some(h) = self.handed.remove(&ticket) {
-                    self.tell(h.caller, h.call, result, out);
+                if let Some(call) = self.forwarded.remove(&ticket) {
+                    self.answer(call.caller, call.kind, result, out);
                 }
             }
             Peer::Reads { ticket, result } => {
-                if let Some(h) = self.handed.remove(&ticket) {
-                    self.tell(h.caller, h.call, result.map(|rev| (rev, Done::Taken)), out);
+                if let Some(call) = self.forwarded.remove(&ticket) {
+                    self.answer(call.caller, call.kind, result.map(|rev| (rev, Done::Taken)), out);
                 }
             }
         }
     }
 
-    fn give_up(&mut self, out: &mut Vec<Output>) {
-        while let Some(ticket) = self.handed.iter().find(|(_, h)| h.until <= self.now).map(|(t, _)| *t) {
-            if let Some(h) = self.handed.remove(&ticket) {
-                self.tell(h.caller, h.call, Err(Unsure::Perhaps), out);
+    fn expire_forwarded(&mut self, out: &mut Vec<Output>) {
+        while let Some(ticket) = self.forwarded.iter().find(|(_, f)| f.deadline <= self.now).map(|(t, _)| *t)
+        {
+            if let Some(call) = self.forwarded.remove(&ticket) {
+                self.answer(call.caller, call.kind, Err(Unsure::Perhaps), out);
             }
         }
     }
 
-    // ---- the agreement ----
+    // ---- consensus ----
 
-    fn agree(&mut self, input: consensus::Input, out: &mut Vec<Output>) {
+    /// Passes an input to consensus and carries out what it returns.
+    fn step_consensus(&mut self, input: consensus::Input, out: &mut Vec<Output>) {
         self.consensus.handle(self.now, input, &mut self.out);
-        let rev = self.copy.rev();
-        let mut done = std::mem::take(&mut self.out);
-        self.out.wake_at = done.wake_at;
-        if let Err(why) = self.take_over(&mut done) {
-            // Nothing of it goes to the disk, so that a program that can read it finds what was there before.
+        let rev_before = self.copy.rev();
+        let mut output = std::mem::take(&mut self.out);
+        self.out.wake_at = output.wake_at;
+        if let Err(why) = self.apply_committed(&mut output) {
+            // Neither sends nor writes anything of this step, so that a version that can read the data finds the disk as
+            // it was. The reported write failure makes consensus take no further part.
             self.unreadable = Some(why);
-            (done.send, done.write) = (Vec::new(), None);
-            self.consensus.handle(self.now, consensus::Input::WriteFailed, &mut done);
-            self.out.wake_at = done.wake_at;
+            (output.send, output.write) = (Vec::new(), None);
+            self.consensus.handle(self.now, consensus::Input::WriteFailed, &mut output);
+            self.out.wake_at = output.wake_at;
         }
-        for (to, message) in done.send.drain(..) {
+        for (to, message) in output.send.drain(..) {
             out.push(Output::Peer(to, Peer::Agree { from_disk: self.disk, message }));
         }
-        if let Some(write) = done.write.take() {
+        if let Some(write) = output.write.take() {
             out.push(Output::Write(write));
         }
-        let results = done.proposed.drain(..).chain(done.read.drain(..));
+        let results = output.proposed.drain(..).chain(output.read.drain(..));
         for (ticket, result) in results {
-            let Some((caller, call)) = self.calls.remove(&ticket) else { continue };
-            match (call, result) {
-                (_, Err(NotLeader(_))) => self.tell(caller, call, Err(Unsure::Not), out),
-                (Call::Read, Ok(rev)) => self.tell(caller, call, Ok((rev, Done::Taken)), out),
-                (Call::Propose, Ok(rev)) => self.settled.push((caller, rev)),
+            let Some((caller, kind)) = self.pending.remove(&ticket) else { continue };
+            match (kind, result) {
+                (_, Err(NotLeader(_))) => self.answer(caller, kind, Err(Unsure::Not), out),
+                (CallKind::Read, Ok(rev)) => self.answer(caller, kind, Ok((rev, Done::Taken)), out),
+                (CallKind::Propose, Ok(rev)) => self.committed.push((caller, rev)),
             }
         }
-        for ticket in done.lost.drain(..) {
-            if let Some((caller, call)) = self.calls.remove(&ticket) {
-                self.tell(caller, call, Err(Unsure::Perhaps), out);
+        for ticket in output.lost.drain(..) {
+            if let Some((caller, kind)) = self.pending.remove(&ticket) {
+                self.answer(caller, kind, Err(Unsure::Perhaps), out);
             }
         }
-        let here = self.copy.rev();
-        let (ready, wait) = self.settled.drain(..).partition(|(_, rev)| *rev <= here);
-        self.settled = wait;
-        let ready: Vec<(Caller, Rev)> = ready;
-        for (caller, rev) in ready {
+        let rev_now = self.copy.rev();
+        let (applied, waiting) = self.committed.drain(..).partition(|(_, rev)| *rev <= rev_now);
+        self.committed = waiting;
+        let applied: Vec<(Caller, Rev)> = applied;
+        for (caller, rev) in applied {
             let found = self.results.iter().rev().find(|(at, _)| *at == rev).map(|(_, done)| done.clone());
-            self.tell(caller, Call::Propose, found.map(|d| (rev, d)).ok_or(Unsure::Perhaps), out);
+            self.answer(caller, CallKind::Propose, found.map(|d| (rev, d)).ok_or(Unsure::Perhaps), out);
         }
-        if here > rev {
+        if rev_now > rev_before {
             let links: Vec<u64> = self.followers.keys().copied().collect();
-            links.into_iter().for_each(|link| self.feed(link, out));
+            links.into_iter().for_each(|link| self.send_news(link, out));
         }
-        let large = self.since_bytes >= SNAPSHOT_STATES * consensus::enough(self.snapshot_bytes);
-        if here >= self.snapshot_at + SNAPSHOT_EVERY || here > self.snapshot_at && large {
+        let large =
+            self.bytes_since_snapshot >= SNAPSHOT_SIZE_FACTOR * consensus::enough(self.snapshot_bytes);
+        if rev_now >= self.snapshot_at + SNAPSHOT_ENTRIES || rev_now > self.snapshot_at && large {
             let data = self.copy.state.write(self.now);
-            (self.snapshot_at, self.snapshot_bytes, self.since_bytes) = (here, data.len(), 0);
-            self.agree(consensus::Input::Snapshot { index: here, data }, out);
+            (self.snapshot_at, self.snapshot_bytes, self.bytes_since_snapshot) = (rev_now, data.len(), 0);
+            self.step_consensus(consensus::Input::Snapshot { index: rev_now, data }, out);
         }
     }
 
-    /// Takes over what is agreed. Err: this program cannot read it; to go on without would be another state.
-    fn take_over(&mut self, done: &mut consensus::Output) -> Result<(), String> {
-        if let Some(snapshot) = done.installed.take() {
+    /// Installs the leader's snapshot and applies committed entries. Fails if this version cannot decode one: skipping it
+    /// would make this state differ from that of the other replicas.
+    fn apply_committed(&mut self, output: &mut consensus::Output) -> Result<(), String> {
+        if let Some(snapshot) = output.installed.take() {
             let mut state = State::read(self.now, &snapshot.data)
-                .map_err(|why| format!("the others' state at entry {}: {why}", snapshot.index))?;
+                .map_err(|why| format!("the leader's snapshot at entry {}: {why}", snapshot.index))?;
             state.rev = state.rev.max(snapshot.index);
             self.copy = Copy::of(state);
-            (self.snapshot_at, self.since_bytes) = (self.copy.rev(), 0);
+            (self.snapshot_at, self.bytes_since_snapshot) = (self.copy.rev(), 0);
             self.snapshot_bytes = snapshot.data.len();
         }
-        for entry in done.committed.drain(..) {
-            self.since_bytes += entry.size();
+        for entry in output.committed.drain(..) {
+            self.bytes_since_snapshot += entry.size();
             let command = match entry.payload {
-                Payload::Data(data) => Some(
-                    postcard::from_bytes::<Command>(&data)
-                        .map_err(|e| format!("entry {} is no command of this program: {e}", entry.index))?,
-                ),
+                Payload::Data(data) => Some(postcard::from_bytes::<Command>(&data).map_err(|e| {
+                    format!("entry {} is not a command that this version can decode: {e}", entry.index)
+                })?),
                 Payload::Nothing | Payload::Roster(_) | Payload::Joint { .. } => None,
             };
             let result = self.copy.apply(self.now, entry.index, command);
             self.results.push_back((entry.index, result));
-            if self.results.len() > RESULTS {
+            if self.results.len() > MAX_RESULTS {
                 self.results.pop_front();
             }
         }
         Ok(())
     }
 
-    /// What the others agree on that this program cannot read.
+    /// Why the committed log or snapshot cannot be decoded by this version, if so.
     pub fn unreadable(&self) -> Option<&str> {
         self.unreadable.as_deref()
     }
 
-    // ---- those who follow ----
+    // ---- followers ----
 
-    fn feed(&mut self, link: u64, out: &mut Vec<Output>) {
+    fn send_news(&mut self, link: u64, out: &mut Vec<Output>) {
         let Some(rev) = self.followers.get_mut(&link) else { return };
         if let Some(news) = self.copy.since(self.now, *rev) {
             *rev = self.copy.rev();
@@ -477,45 +495,49 @@
         }
     }
 
-    /// Whether this store held, within [`FRESH_US`], all that was acknowledged by then.
+    /// Whether this replica holds all that was acknowledged up to some moment within the last [`FRESH_US`].
     pub fn fresh(&self) -> bool {
         self.fresh_ms().is_some()
     }
 
+    /// Milliseconds since the start of the last freshness read that is applied; `None` once that is [`FRESH_US`] ago.
     fn fresh_ms(&self) -> Option<u32> {
-        let reads = self.unreadable.is_none();
-        let at = self.fresh_at.filter(|at| reads && self.now < at + FRESH_US)?;
+        let readable = self.unreadable.is_none();
+        let at = self.fresh_at.filter(|at| readable && self.now < at + FRESH_US)?;
         u32::try_from((self.now - at) / 1000).ok()
     }
 
-    /// What was agreed when it was asked for, and has all come since.
-    fn catch_up(&mut self) {
-        while let Some((asked, _)) = self.agreed.pop_front_if(|(_, rev)| *rev <= self.copy.rev()) {
-            self.fresh_at = self.fresh_at.max(Some(asked));
+    /// Advances `fresh_at` over the freshness reads whose revision is applied by now.
+    fn update_fresh_at(&mut self) {
+        while let Some((asked_at, _)) = self.freshness_reads.pop_front_if(|(_, rev)| *rev <= self.copy.rev())
+        {
+            self.fresh_at = self.fresh_at.max(Some(asked_at));
         }
     }
 
-    pub fn standing(&self) -> Standing {
-        Standing { leader: self.consensus.leader(), term: self.consensus.term(), fresh: self.fresh() }
+    pub fn status(&self) -> Status {
+        Status { leader: self.consensus.leader(), term: self.consensus.term(), fresh: self.fresh() }
     }
 
     pub fn leads(&self) -> bool {
         self.consensus.role() == Role::Leader
     }
 
-    fn stand(&mut self, out: &mut Vec<Output>) {
-        self.catch_up();
+    /// Sends followers the status if it has changed, a follower has asked for it or the period has passed.
+    fn report_status(&mut self, out: &mut Vec<Output>) {
+        self.update_fresh_at();
         let core: Vec<Ipv4Addr> = self.consensus.roster().members.keys().copied().collect();
-        let stands = (core, self.fresh(), self.leads(), self.consensus.term());
-        if self.now < self.standing_at && self.stood.as_ref() == Some(&stands) {
+        let status = (core, self.fresh(), self.leads(), self.consensus.term());
+        if self.now < self.next_status_at && self.reported.as_ref() == Some(&status) {
             return;
         }
-        self.standing_at = self.now + STANDING_US;
+        self.next_status_at = self.now + STATUS_PERIOD_US;
         for link in self.followers.keys() {
-            let (core, _, leads, term) = stands.clone();
-            let (fresh_ms, asked) = (self.fresh_ms(), self.asked.get(link).copied().unwrap_or_default());
+            let (core, _, leads, term) = status.clone();
+            let (fresh_ms, asked) =
+                (self.fresh_ms(), self.status_queries.get(link).copied().unwrap_or_default());
             out.push(Output::Local(*link, FromStore::Standing { core, fresh_ms, leads, term, asked }));
         }
-        self.stood = Some(stands);
+        self.reported = Some(status);
     }
 }
--- a/crates/config-store/tests/catching_up.rs
+++ b/crates/config-store/tests/catching_up.rs
@@ -105,7 +105,7 @@
     let mut store = Store::new();
     let data = evacuated(300, 90);
     store.part(300, &data, 0, data.len() / 2);
-    assert_eq!(store.replica.standing().leader, Some(LEADER), "it hears who leads");
+    assert_eq!(store.replica.status().leader, Some(LEADER), "it hears who leads");
     assert!(!store.replica.fresh(), "and has nothing yet");
     store.part(300, &data, data.len() / 2, data.len());
     assert_eq!(store.replica.copy.rev(), 300);
@@ -157,7 +157,7 @@
     let why = store.replica.unreadable().expect("refused");
     assert!(why.contains("form 77") && why.contains("this program reads"), "{why}");
     assert_eq!(store.saved, before, "a program that can read it begins from what was there");
-    assert_eq!((store.replica.fresh(), store.replica.standing().leader), (false, None));
+    assert_eq!((store.replica.fresh(), store.replica.status().leader), (false, None));
     store.append(300, 301, vec![evacuate("b")]);
     assert_eq!((store.replica.copy.rev(), store.sent.len()), (2, answers), "it takes no part any more");
     // With its disk it is a member again.
@@ -172,7 +172,7 @@
     let unknown = Payload::Data(vec![200, 1, 2, 3]);
     store.append(2, 5, vec![evacuate("b"), unknown, evacuate("c")]);
     let why = store.replica.unreadable().expect("refused");
-    assert!(why.contains("entry 4 is no command of this program"), "{why}");
+    assert!(why.contains("entry 4 is not a command that this version can decode"), "{why}");
     assert!(!store.replica.fresh());
     let zones: Vec<&str> = store.replica.copy.state.evacuated.iter().map(String::as_str).collect();
     assert_eq!((store.replica.copy.rev(), zones), (3, vec!["a", "b"]));
--- a/crates/config-store/tests/replica.rs
+++ b/crates/config-store/tests/replica.rs
@@ -142,7 +142,7 @@
 
     fn leader(&self) -> Ipv4Addr {
         let leads = self.machines.iter().filter(|(_, m)| m.replica.leads());
-        leads.max_by_key(|(_, m)| m.replica.standing().term).map(|(ip, _)| *ip).expect("one leads")
+        leads.max_by_key(|(_, m)| m.replica.status().term).map(|(ip, _)| *ip).expect("one leads")
     }
 
     fn followers(&self) -> Vec<Ipv4Addr> {
@@ -205,7 +205,7 @@
     let rev = site.machines[&leader].replica.copy.rev();
     site.pass(3 * SECOND);
     let m = &site.machines[&behind];
-    assert_eq!(m.replica.standing().leader, Some(leader), "it hears who leads");
+    assert_eq!(m.replica.status().leader, Some(leader), "it hears who leads");
     assert!(m.replica.copy.rev() < rev, "and has not what the leader tells of");
     assert_eq!(m.standing, Some((false, false)));
     site.cut.clear();
@@ -334,7 +334,7 @@
 fn a_duty_lands_in_its_term_or_never() {
     let mut site = Site::new();
     let (leader, other) = (site.leader(), site.followers()[0]);
-    let term = site.machines[&leader].replica.standing().term;
+    let term = site.machines[&leader].replica.status().term;
     let duty = |site: &mut Site, at: Ipv4Addr, term: u64, zone: &str| {
         site.tickets += 1;
         let (ticket, command) = (site.tickets, evacuate(zone));
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -429,7 +429,7 @@
             self.at(self.now + took, Ev::Written(n, p.life, write.number));
             self.disks[n].under_way = Some(write);
         }
-        for ip in s.replica.fellows() {
+        for ip in s.replica.peers() {
             s.fellows.entry(ip).or_default();
         }
         for (ip, tie) in &mut s.fellows {
