--- a/crates/config-store/tests/forms.rs
+++ b/crates/config-store/tests/forms.rs
@@ -250,7 +250,7 @@
     replica.handle(1, config_store::replica::Input::Tick, &mut out);
     drop(store);
     let told = store::check(&folder.0).expect("sound");
-    assert!(told.contains("votes and counts") && told.contains("configuration  00000001"), "{told}");
+    assert!(told.contains("voting member") && told.contains("configuration  00000001"), "{told}");
 }
 
 #[test]
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -70,10 +70,10 @@
     filled(&dir, 1, &["north", "south"], 1);
     let before = bytes(&dir);
     let said = store::check(&dir).expect("sound");
-    assert!(said.contains("10.8.0.1, disk 0, votes and counts") && said.contains("entries 1 to 2"), "{said}");
-    assert!(said.contains("known to count up to 1") && said.contains("north, south"), "{said}");
+    assert!(said.contains("10.8.0.1, disk 0, voting member") && said.contains("entries 1 to 2"), "{said}");
+    assert!(said.contains("known to be committed up to 1") && said.contains("north, south"), "{said}");
     let said = store::dump(&dir).expect("readable");
-    assert!(said.contains("evacuate south (not known to count)"), "{said}");
+    assert!(said.contains("evacuate south (not known to be committed)"), "{said}");
     assert_eq!(bytes(&dir), before);
     let open = Store::open(&dir, ip(1), || panic!("it is there")).expect("opened");
     assert!(store::check(&dir).expect_err("in use").contains("in use by another process"));
@@ -92,7 +92,7 @@
     assert!(store::check(&broken).expect_err("refused").contains("ratchet.redb"));
     let odd = folder.at("odd");
     filled(&odd, 1, &["north"], 7);
-    assert!(store::check(&odd).expect_err("refused").contains("entry 7 is said to count"));
+    assert!(store::check(&odd).expect_err("refused").contains("entry 7 is marked as committed"));
     let cut = folder.at("cut");
     std::fs::create_dir_all(&cut).expect("a folder");
     std::fs::write(cut.join("ratchet.redb"), &before[..before.len() / 3]).expect("cut");
@@ -113,7 +113,7 @@
 
     let to = folder.at("b");
     let said = store::restore(&file, &to, None, 77, false).expect("restored");
-    assert!(said.contains("disk 77 of 10.8.0.1") && said.contains("stranger"), "{said}");
+    assert!(said.contains("disk 77 of 10.8.0.1") && said.contains("starts without a vote"), "{said}");
     let look = disk::look(&to).expect("there");
     assert_eq!((look.disk, look.member), (77, ip(1)));
     assert_eq!(look.saved, saved.stranger());
@@ -134,8 +134,8 @@
     for (bytes, why) in [
         (later, "has form 2"),
         (changed, "check sum"),
-        (first[..9].to_vec(), "cut short"),
-        (vec![1], "no backup"),
+        (first[..9].to_vec(), "truncated"),
+        (vec![1], "not a backup"),
     ] {
         std::fs::write(&file, bytes).expect("written");
         let error = store::restore(&file, &folder.at("c"), None, 79, false).expect_err("refused");
