--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -123,7 +123,7 @@
                 runtime::log_buffer::dump("a write to the disk failed");
                 std::thread::sleep(WRITE_RETRY_DELAY);
                 drop(store.take());
-                // The store exists already, so the initial content is never used.
+                // The store was created before, so it needs no initial content.
                 store = Store::open(&dir, me, || (0, Saved::blank())).ok().map(|(open, _)| open);
             }
             inbox.post(Message::Written(write.number));
--- a/crates/config-store/tests/catching_up.rs
+++ b/crates/config-store/tests/catching_up.rs
@@ -1,4 +1,5 @@
-//! A store that comes back: what it may say of itself before it has all, and what of a later program it refuses.
+//! A replica that catches up: it does not count as fresh before it holds all committed entries, and it refuses a snapshot
+//! or command of a later version without changing its disk.
 
 use cluster::state::{Command, State};
 use config_store::replica::{Input, Output, Peer, Replica};
@@ -12,27 +13,27 @@
     Ipv4Addr::new(10, 8, 0, last)
 }
 
-struct Store {
+struct Follower {
     replica: Replica,
     saved: Saved,
     now: u64,
     sent: Vec<Message>,
-    /// Its questions of how far the log is agreed.
+    /// Tickets of the reads that it sent to the leader.
     reads: Vec<u64>,
 }
 
-impl Store {
-    fn new() -> Store {
+impl Follower {
+    fn new() -> Follower {
         let saved = Saved::founding([ip(1), ip(2), ip(3)]);
         let replica = Replica::new(ME, 0, saved.clone(), vec![LEADER], 1, 0).expect("readable");
-        Store { replica, saved, now: 0, sent: Vec::new(), reads: Vec::new() }
+        Follower { replica, saved, now: 0, sent: Vec::new(), reads: Vec::new() }
     }
 
-    fn hear(&mut self, message: Message) {
-        self.told(Peer::Agree { from_disk: 0, message });
+    fn receive_message(&mut self, message: Message) {
+        self.receive(Peer::Agree { from_disk: 0, message });
     }
 
-    fn told(&mut self, peer: Peer) {
+    fn receive(&mut self, peer: Peer) {
         self.now += 1000;
         let mut inputs = vec![Input::Peer(LEADER, peer)];
         while let Some(input) = inputs.pop() {
@@ -52,26 +53,26 @@
         }
     }
 
-    fn append(&mut self, prev: u64, commit: u64, payloads: Vec<Payload>) {
-        let at = |n: usize| prev + 1 + n as u64;
+    fn receive_append(&mut self, prev: u64, commit: u64, payloads: Vec<Payload>) {
+        let index = |n: usize| prev + 1 + n as u64;
         let entries: Vec<Entry> = payloads
             .into_iter()
             .enumerate()
-            .map(|(n, payload)| Entry { term: 5, index: at(n), payload })
+            .map(|(n, payload)| Entry { term: 5, index: index(n), payload })
             .collect();
         let prev_term = if prev == 0 { 0 } else { 5 };
-        self.hear(Message::Append { term: 5, round: 1, prev, prev_term, commit, entries });
-        // A leader answers once an entry of its own term counts.
+        self.receive_message(Message::Append { term: 5, round: 1, prev, prev_term, commit, entries });
+        // A leader answers reads once an entry of its own term is committed.
         if commit > 0 {
             for ticket in std::mem::take(&mut self.reads) {
-                self.told(Peer::Reads { ticket, result: Ok(commit) });
+                self.receive(Peer::Reads { ticket, result: Ok(commit) });
             }
         }
     }
 
-    fn part(&mut self, index: u64, data: &[u8], offset: usize, end: usize) {
+    fn receive_part(&mut self, index: u64, data: &[u8], offset: usize, end: usize) {
         let roster = Roster { members: (1..4).map(|n| (ip(n), 0)).collect() };
-        self.hear(Message::Part {
+        self.receive_message(Message::Part {
             term: 5,
             round: 1,
             index,
@@ -91,6 +92,7 @@
     )
 }
 
+/// An encoded state at revision `rev` with `count` evacuated zones.
 fn evacuated(rev: u64, count: u64) -> Vec<u8> {
     let mut state = State::default();
     for n in 1..=count {
@@ -102,94 +104,94 @@
 
 #[test]
 fn parts_of_a_snapshot_do_not_make_a_store_fresh_and_what_follows_it_does() {
-    let mut store = Store::new();
+    let mut follower = Follower::new();
     let data = evacuated(300, 90);
-    store.part(300, &data, 0, data.len() / 2);
-    assert_eq!(store.replica.status().leader, Some(LEADER), "it hears who leads");
-    assert!(!store.replica.fresh(), "and has nothing yet");
-    store.part(300, &data, data.len() / 2, data.len());
-    assert_eq!(store.replica.copy.rev(), 300);
-    assert!(!store.replica.fresh(), "how far the others have come since is not told");
-    store.append(300, 301, vec![evacuate("a"), evacuate("b")]);
-    assert_eq!((store.replica.copy.rev(), store.replica.fresh()), (301, true));
-    assert_eq!(store.replica.copy.state.evacuated.len(), 91);
+    follower.receive_part(300, &data, 0, data.len() / 2);
+    assert_eq!(follower.replica.status().leader, Some(LEADER), "it knows the leader");
+    assert!(!follower.replica.fresh(), "and has no entries yet");
+    follower.receive_part(300, &data, data.len() / 2, data.len());
+    assert_eq!(follower.replica.copy.rev(), 300);
+    assert!(!follower.replica.fresh(), "the commit index of the others is not known yet");
+    follower.receive_append(300, 301, vec![evacuate("a"), evacuate("b")]);
+    assert_eq!((follower.replica.copy.rev(), follower.replica.fresh()), (301, true));
+    assert_eq!(follower.replica.copy.state.evacuated.len(), 91);
 }
 
-/// Of an older snapshot, which the leader has given up: it takes nothing from the newer one that is coming.
+/// Late parts of an older snapshot, which the leader has abandoned, must not disturb the transfer of the newer one.
 #[test]
-fn a_part_that_was_overtaken_is_passed_over() {
-    let mut store = Store::new();
+fn late_parts_of_an_older_snapshot_are_ignored() {
+    let mut follower = Follower::new();
     let (old, new) = (evacuated(256, 80), evacuated(300, 90));
-    store.part(256, &old, 0, 100);
-    store.part(300, &new, 0, 200);
-    store.part(256, &old, 100, 300);
-    store.part(256, &old, 0, 100);
-    store.part(300, &new, 0, 200);
-    store.part(300, &new, 200, new.len());
-    assert_eq!((store.replica.copy.rev(), store.replica.copy.state.evacuated.len()), (300, 90));
-    let got = |m: &Message| match m {
+    follower.receive_part(256, &old, 0, 100);
+    follower.receive_part(300, &new, 0, 200);
+    follower.receive_part(256, &old, 100, 300);
+    follower.receive_part(256, &old, 0, 100);
+    follower.receive_part(300, &new, 0, 200);
+    follower.receive_part(300, &new, 200, new.len());
+    assert_eq!((follower.replica.copy.rev(), follower.replica.copy.state.evacuated.len()), (300, 90));
+    let received = |m: &Message| match m {
         Message::Got { index, offset, .. } => Some((*index, *offset)),
         _ => None,
     };
-    let told: Vec<(u64, u64)> = store.sent.iter().filter_map(got).collect();
-    // Of the first part nothing is said: the term is not on disk yet.
-    assert_eq!(told, [(300, 200), (300, 200), (300, new.len() as u64)]);
+    let acknowledged: Vec<(u64, u64)> = follower.sent.iter().filter_map(received).collect();
+    // The first part is not acknowledged: the term is not on disk yet.
+    assert_eq!(acknowledged, [(300, 200), (300, 200), (300, new.len() as u64)]);
 }
 
 #[test]
-fn a_leader_that_does_not_know_yet_what_counts_makes_nobody_fresh() {
-    let mut store = Store::new();
-    store.append(0, 0, vec![Payload::Nothing]);
-    assert!(!store.replica.fresh(), "nothing of its own term counts yet");
-    store.append(1, 1, vec![evacuate("a")]);
-    assert!(store.replica.fresh());
+fn a_leader_without_a_committed_entry_of_its_term_makes_nobody_fresh() {
+    let mut follower = Follower::new();
+    follower.receive_append(0, 0, vec![Payload::Nothing]);
+    assert!(!follower.replica.fresh(), "no entry of its own term is committed yet");
+    follower.receive_append(1, 1, vec![evacuate("a")]);
+    assert!(follower.replica.fresh());
 }
 
 #[test]
 fn a_state_of_a_later_program_is_refused_and_the_disk_stays_as_it_was() {
-    let mut store = Store::new();
-    store.append(0, 2, vec![Payload::Nothing, evacuate("a")]);
-    assert!(store.replica.fresh());
+    let mut follower = Follower::new();
+    follower.receive_append(0, 2, vec![Payload::Nothing, evacuate("a")]);
+    assert!(follower.replica.fresh());
     let mut data = evacuated(300, 9);
     data[0] = 77;
-    let (before, answers) = (store.saved.clone(), store.sent.len());
-    store.part(300, &data, 0, data.len());
-    let why = store.replica.unreadable().expect("refused");
+    let (before, answers) = (follower.saved.clone(), follower.sent.len());
+    follower.receive_part(300, &data, 0, data.len());
+    let why = follower.replica.unreadable().expect("refused");
     assert!(why.contains("form 77") && why.contains("this program reads"), "{why}");
-    assert_eq!(store.saved, before, "a program that can read it begins from what was there");
-    assert_eq!((store.replica.fresh(), store.replica.status().leader), (false, None));
-    store.append(300, 301, vec![evacuate("b")]);
-    assert_eq!((store.replica.copy.rev(), store.sent.len()), (2, answers), "it takes no part any more");
-    // With its disk it is a member again.
-    let again = Replica::new(ME, 0, store.saved.clone(), vec![LEADER], 1, 0).expect("readable");
-    assert!(again.unreadable().is_none());
+    assert_eq!(follower.saved, before, "a version that can read it starts from the unchanged disk");
+    assert_eq!((follower.replica.fresh(), follower.replica.status().leader), (false, None));
+    follower.receive_append(300, 301, vec![evacuate("b")]);
+    assert_eq!((follower.replica.copy.rev(), follower.sent.len()), (2, answers), "it takes no further part");
+    // Started again on the same disk, it is a member again.
+    let restarted = Replica::new(ME, 0, follower.saved.clone(), vec![LEADER], 1, 0).expect("readable");
+    assert!(restarted.unreadable().is_none());
 }
 
 #[test]
 fn a_command_of_a_later_program_is_refused_and_nothing_after_it_is_applied() {
-    let mut store = Store::new();
-    store.append(0, 2, vec![Payload::Nothing, evacuate("a")]);
+    let mut follower = Follower::new();
+    follower.receive_append(0, 2, vec![Payload::Nothing, evacuate("a")]);
     let unknown = Payload::Data(vec![200, 1, 2, 3]);
-    store.append(2, 5, vec![evacuate("b"), unknown, evacuate("c")]);
-    let why = store.replica.unreadable().expect("refused");
+    follower.receive_append(2, 5, vec![evacuate("b"), unknown, evacuate("c")]);
+    let why = follower.replica.unreadable().expect("refused");
     assert!(why.contains("entry 4 is not a command that this version can decode"), "{why}");
-    assert!(!store.replica.fresh());
-    let zones: Vec<&str> = store.replica.copy.state.evacuated.iter().map(String::as_str).collect();
-    assert_eq!((store.replica.copy.rev(), zones), (3, vec!["a", "b"]));
+    assert!(!follower.replica.fresh());
+    let zones: Vec<&str> = follower.replica.copy.state.evacuated.iter().map(String::as_str).collect();
+    assert_eq!((follower.replica.copy.rev(), zones), (3, vec!["a", "b"]));
 }
 
-/// Configurations of 60 KB: the log that is kept does not come to hundreds of them.
+/// With configurations of 60 KB the snapshot must come by size, before the log holds hundreds of them.
 #[test]
-fn a_log_of_large_changes_is_cut_by_its_bytes() {
-    let mut store = Store::new();
-    store.append(0, 1, vec![Payload::Nothing]);
+fn a_log_of_large_entries_is_compacted_by_size() {
+    let mut follower = Follower::new();
+    follower.receive_append(0, 1, vec![Payload::Nothing]);
     for n in 1..120 {
-        // Refused by every copy alike, as it builds on no version; the log holds it all the same.
+        // Every replica rejects it, as its base version does not exist; the log holds it all the same.
         let change = cluster::state::Change { base: 9, patch: false, body: vec![b' '; 60_000] };
         let data = postcard::to_stdvec(&Command::Configure(change)).expect("plain data");
-        store.append(n, n, vec![Payload::Data(data)]);
+        follower.receive_append(n, n, vec![Payload::Data(data)]);
     }
-    let bytes: usize = store.saved.entries.iter().map(Entry::size).sum();
-    assert!(store.saved.snapshot.index > 100, "{}", store.saved.snapshot.index);
+    let bytes: usize = follower.saved.entries.iter().map(Entry::size).sum();
+    assert!(follower.saved.snapshot.index > 100, "{}", follower.saved.snapshot.index);
     assert!(bytes < 8 * 64 * 1024, "{bytes} bytes of entries");
 }
--- a/crates/config-store/tests/forms.rs
+++ b/crates/config-store/tests/forms.rs
@@ -1,9 +1,9 @@
-//! What an earlier program wrote is read by this one. The rows of a store, a backup and the messages between stores are
-//! kept as that program wrote them (`forms/`); the values that they stand for are made here by code. Rows of a newer form
-//! are refused by its number.
+//! Compatibility of stored and transmitted formats: this version reads what an earlier one wrote. The rows of a store, a
+//! backup and the messages between stores are kept as that version wrote them (`forms/`), and the values that they stand for
+//! are built here in code. Rows of a newer format are refused, and the error names its number.
 //!
-//! After a change of form, the file of the old one stays, and `cargo test -p curlewfront-config-store --test forms --
-//! --ignored` with `FORMS=NAME` writes one more.
+//! After a change of a format, the file of the old one stays, and `cargo test -p curlewfront-config-store --test forms --
+//! --ignored` with `FORMS=NAME` writes another one.
 
 use cluster::booking::{BookChange, Booking, Unused};
 use cluster::state::{Change, Command, Node, NodeChange, Server, ServerChange, State};
@@ -27,24 +27,24 @@
     Member::new(10, 8, 0, last)
 }
 
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempDir {
+    fn new(name: &str) -> TempDir {
         let path = std::env::temp_dir().join(format!("planchest-forms-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TempDir(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-// ---- what was written ----
+// ---- the values that were written ----
 
 fn server(id: &str, last: u8) -> Server {
     Server {
@@ -99,7 +99,7 @@
     Roster { members: [(ip(1), DISK), (ip(2), 0), (ip(3), 0)].into() }
 }
 
-/// The state after so many commands.
+/// The state after the first `count` commands.
 fn state(count: usize) -> State {
     let mut state = State::default();
     for (at, command) in commands().iter().take(count).enumerate() {
@@ -108,7 +108,7 @@
     state
 }
 
-/// A snapshot after `count` commands, then the others as entries, a roster and a leader's first entry.
+/// A snapshot after `count` commands; then the last of them and the others as entries, a leader's first entry and a roster.
 fn saved(count: usize) -> Saved {
     let entry = |index: u64, payload| Entry { term: 2 + index / 6, index, payload };
     let (all, last) = (commands(), commands().len() as u64);
@@ -154,11 +154,11 @@
     ]
 }
 
-fn framed(message: Message) -> Vec<u8> {
+fn peer_message(message: Message) -> Vec<u8> {
     postcard::to_stdvec(&StorePeer::Agree { from_disk: DISK, message }).expect("plain data")
 }
 
-// ---- the file: a name and bytes on each line ----
+// ---- the file: on each line a name and bytes in hex ----
 
 type Rows = BTreeMap<String, Vec<u8>>;
 
@@ -166,7 +166,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/forms").join(format!("{name}.txt"))
 }
 
-fn read(name: &str) -> Rows {
+fn read_file(name: &str) -> Rows {
     let text = std::fs::read_to_string(path(name)).expect("the file is there");
     let row = |line: &str| {
         let (name, hex) = line.split_once(' ').expect("a name, and bytes");
@@ -176,9 +176,9 @@
     text.lines().map(row).collect()
 }
 
-/// The store that has these rows.
-fn lay(folder: &Folder, rows: &Rows) {
-    let db = Database::create(folder.0.join("ratchet.redb")).expect("a store");
+/// Creates a store with these rows.
+fn write_rows(temp: &TempDir, rows: &Rows) {
+    let db = Database::create(temp.0.join("ratchet.redb")).expect("a store");
     let t = db.begin_write().expect("a write");
     {
         let mut meta = t.open_table(META).expect("a table");
@@ -197,8 +197,8 @@
     t.commit().expect("written");
 }
 
-fn rows(folder: &Folder) -> Rows {
-    let db = Database::open(folder.0.join("ratchet.redb")).expect("a store");
+fn read_rows(temp: &TempDir) -> Rows {
+    let db = Database::open(temp.0.join("ratchet.redb")).expect("a store");
     let t = redb::ReadableDatabase::begin_read(&db).expect("a read");
     let meta = t.open_table(META).expect("a table");
     let log = t.open_table(LOG).expect("a table");
@@ -215,57 +215,57 @@
 }
 
 #[test]
-#[ignore = "writes the file of this program's forms"]
-fn write_this_programs_forms() {
+#[ignore = "writes the sample file of the current formats"]
+fn write_sample_of_current_formats() {
     let name = std::env::var("FORMS").expect("a name for the file");
-    let folder = Folder::new("write");
-    Store::open(&folder.0, ME, || (DISK, saved(3))).expect("made");
-    let mut all = rows(&folder);
-    store::backup(&folder.0, &folder.0.join("backup")).expect("written");
-    all.insert("backup".into(), std::fs::read(folder.0.join("backup")).expect("there"));
+    let temp = TempDir::new("write");
+    Store::open(&temp.0, ME, || (DISK, saved(3))).expect("created");
+    let mut all = read_rows(&temp);
+    store::backup(&temp.0, &temp.0.join("backup")).expect("written");
+    all.insert("backup".into(), std::fs::read(temp.0.join("backup")).expect("exists"));
     all.insert("state:plain".into(), state(5).write(0));
     all.insert("state:booked".into(), state(6).write(0));
     for (n, message) in messages().into_iter().enumerate() {
         all.insert(format!("message:{n}"), encode(DISK, &message));
-        all.insert(format!("frame:{n}"), framed(message));
+        all.insert(format!("frame:{n}"), peer_message(message));
     }
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let text: String = all.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
     std::fs::write(path(&name), text).expect("written");
 }
 
-// ---- reading it ----
+// ---- reading it back ----
 
 #[test]
-fn a_store_of_the_earlier_program_is_read_and_goes_on() {
-    let stored = read("first");
-    let folder = Folder::new("store");
-    lay(&folder, &stored);
-    let (store, found) = Store::open(&folder.0, ME, || panic!("it is there")).expect("read");
+fn a_store_of_an_earlier_version_is_read_and_continues() {
+    let stored = read_file("first");
+    let temp = TempDir::new("store");
+    write_rows(&temp, &stored);
+    let (store, found) = Store::open(&temp.0, ME, || panic!("the store exists")).expect("read");
     assert_eq!((store.disk(), &found), (DISK, &saved(3)));
-    // What is written after it is read again beside it.
+    // A replica starts on it, and the store still passes its check.
     let mut replica = Replica::new(ME, DISK, found, vec![ip(2)], 1, 0).expect("its state is read");
     assert_eq!(replica.copy.state.version(), 1);
     let mut out = Vec::new();
     replica.handle(1, config_store::replica::Input::Tick, &mut out);
     drop(store);
-    let told = store::check(&folder.0).expect("sound");
-    assert!(told.contains("voting member") && told.contains("configuration  00000001"), "{told}");
+    let text = store::check(&temp.0).expect("sound");
+    assert!(text.contains("voting member") && text.contains("configuration  00000001"), "{text}");
 }
 
 #[test]
-fn states_backups_and_messages_of_the_earlier_program_are_read() {
-    let stored = read("first");
+fn states_backups_and_messages_of_an_earlier_version_are_read() {
+    let stored = read_file("first");
     for (name, count) in [("state:plain", 5), ("state:booked", 6)] {
         let found = State::read(0, &stored[name]).expect("read");
         assert_eq!(found.write(0), state(count).write(0), "{name}");
         assert!(found.evacuated.contains("b") && found.servers["s1"].draining && found.has_gone("s0"));
     }
-    let (from, folder) = (Folder::new("backup"), Folder::new("restored"));
+    let (from, temp) = (TempDir::new("backup"), TempDir::new("restored"));
     let file = from.0.join("backup");
     std::fs::write(&file, &stored["backup"]).expect("written");
-    store::restore(&file, &folder.0, None, 99, false).expect("put back");
-    let (_, found) = Store::open(&folder.0, ME, || panic!("it is there")).expect("read");
+    store::restore(&file, &temp.0, None, 99, false).expect("restored");
+    let (_, found) = Store::open(&temp.0, ME, || panic!("the store exists")).expect("read");
     assert_eq!(found.entries, saved(3).entries);
     for (n, message) in messages().into_iter().enumerate() {
         let name = format!("message:{n}");
@@ -282,18 +282,18 @@
 }
 
 #[test]
-fn a_newer_form_is_refused_by_its_number_and_kept_as_it_is() {
-    let mut stored = read("first");
+fn a_newer_format_is_refused_by_number_and_left_unchanged() {
+    let mut stored = read_file("first");
     stored.insert("meta:owner".into(), sealed(&Newer { format: 77, what: "of a later program" }));
-    let folder = Folder::new("newer");
-    lay(&folder, &stored);
-    let error = Store::open(&folder.0, ME, || panic!("it is there")).err().expect("refused").to_string();
+    let temp = TempDir::new("newer");
+    write_rows(&temp, &stored);
+    let error = Store::open(&temp.0, ME, || panic!("the store exists")).err().expect("refused").to_string();
     assert!(error.contains("form 77") && error.contains("this program reads form"), "{error}");
-    assert!(store::check(&folder.0).is_err_and(|e| e.contains("form 77")));
+    assert!(store::check(&temp.0).is_err_and(|e| e.contains("form 77")));
     stored.retain(|name, _| name.starts_with("meta:") || name.starts_with("log:"));
-    assert_eq!(rows(&folder), stored, "nothing is written over it");
-    // A row that was changed is told from one of another form.
-    let mut bytes = read("first")["meta:hard"].clone();
+    assert_eq!(read_rows(&temp), stored, "nothing is overwritten");
+    // A corrupted row gives another error than a row of another format.
+    let mut bytes = read_file("first")["meta:hard"].clone();
     *bytes.last_mut().expect("some") ^= 1;
     assert!(unsealed::<Hard>(&bytes).is_err_and(|e| e.contains("check sum")));
 }
--- a/crates/config-store/tests/replica.rs
+++ b/crates/config-store/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Stores on machines of the test's own: it carries their messages, keeps their disks and tells them the time.
+//! Replicas in a simulated cluster: the test delivers their messages, keeps their disks and advances their clock.
 
 use cluster::copy::Copy;
 use cluster::state::{Change, Command, Done, State};
@@ -19,26 +19,29 @@
 struct Machine {
     replica: Replica,
     saved: Saved,
-    /// What the registry on this machine makes of the store's news, and what else it was last told.
+    /// The copy that the registry on this machine builds from the news.
     copy: Copy,
-    standing: Option<(bool, bool)>,
+    /// From the last status message: whether fresh, whether leader.
+    status: Option<(bool, bool)>,
     results: BTreeMap<u64, Result<(u64, Done), Unsure>>,
     reads: BTreeMap<u64, Result<u64, Unsure>>,
 }
 
-struct Site {
+struct Cluster {
     now: u64,
     machines: BTreeMap<Ipv4Addr, Machine>,
-    on_the_way: VecDeque<(u64, Ipv4Addr, Ipv4Addr, Peer)>,
-    /// From, to: nothing arrives.
-    cut: BTreeSet<(Ipv4Addr, Ipv4Addr)>,
+    /// Time of arrival, sender, receiver, message.
+    in_flight: VecDeque<(u64, Ipv4Addr, Ipv4Addr, Peer)>,
+    /// Pairs of sender and receiver between which messages are dropped.
+    blocked: BTreeSet<(Ipv4Addr, Ipv4Addr)>,
     tickets: u64,
-    starts: BTreeMap<Ipv4Addr, u64>,
+    /// How often each replica was restarted.
+    restarts: BTreeMap<Ipv4Addr, u64>,
 }
 
-/// `life`: how often it was started before.
-fn replica(me: Ipv4Addr, saved: Saved, life: u64, now: u64) -> Replica {
-    let seed = u64::from(me.octets()[3]) + (life << 8);
+/// `restarts`: how often it was started before.
+fn new_replica(me: Ipv4Addr, saved: Saved, restarts: u64, now: u64) -> Replica {
+    let seed = u64::from(me.octets()[3]) + (restarts << 8);
     Replica::new(me, 0, saved, vec![ip(1), ip(2), ip(3)], seed, now).expect("readable")
 }
 
@@ -54,30 +57,30 @@
     Command::Configure(Change { base: version - 1, patch: false, body: body.into_bytes() })
 }
 
-impl Site {
-    /// Three stores with a leader, and a registry beside each.
-    fn new() -> Site {
+impl Cluster {
+    /// Three replicas with a leader, and a registry on the machine of each.
+    fn new() -> Cluster {
         let (now, tickets) = (SECOND, 0);
-        let (machines, on_the_way, cut) = (BTreeMap::new(), VecDeque::new(), BTreeSet::new());
-        let mut site = Site { now, machines, on_the_way, cut, tickets, starts: BTreeMap::new() };
+        let (machines, in_flight, blocked) = (BTreeMap::new(), VecDeque::new(), BTreeSet::new());
+        let mut cluster = Cluster { now, machines, in_flight, blocked, tickets, restarts: BTreeMap::new() };
         for me in [ip(1), ip(2), ip(3)] {
-            site.start(me, Saved::founding([ip(1), ip(2), ip(3)]));
+            cluster.start(me, Saved::founding([ip(1), ip(2), ip(3)]));
         }
-        site.pass(3 * SECOND);
-        assert!(site.machines.values().all(|m| m.standing.is_some_and(|s| s.0)), "all are fresh");
-        site
+        cluster.advance(3 * SECOND);
+        assert!(cluster.machines.values().all(|m| m.status.is_some_and(|s| s.0)), "all are fresh");
+        cluster
     }
 
     fn start(&mut self, me: Ipv4Addr, saved: Saved) {
-        let life = self.starts.entry(me).and_modify(|n| *n += 1).or_insert(0);
-        let replica = replica(me, saved.clone(), *life, self.now);
+        let restarts = self.restarts.entry(me).and_modify(|n| *n += 1).or_insert(0);
+        let replica = new_replica(me, saved.clone(), *restarts, self.now);
         let (results, reads) = (BTreeMap::new(), BTreeMap::new());
-        let machine = Machine { replica, saved, copy: Copy::default(), standing: None, results, reads };
+        let machine = Machine { replica, saved, copy: Copy::default(), status: None, results, reads };
         self.machines.insert(me, machine);
-        self.tell(me, Input::Local(LINK, ToStore::Follow { rev: 0 }));
+        self.handle(me, Input::Local(LINK, ToStore::Follow { rev: 0 }));
     }
 
-    fn tell(&mut self, me: Ipv4Addr, input: Input) {
+    fn handle(&mut self, me: Ipv4Addr, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let Some(m) = self.machines.get_mut(&me) else { return };
@@ -89,54 +92,54 @@
                         write.apply(&mut m.saved);
                         inputs.push_back(Input::Written(write.number));
                     }
-                    Output::Peer(to, peer) if !self.cut.contains(&(me, to)) => {
-                        self.on_the_way.push_back((self.now + HOP_US, me, to, peer));
+                    Output::Peer(to, peer) if !self.blocked.contains(&(me, to)) => {
+                        self.in_flight.push_back((self.now + HOP_US, me, to, peer));
                     }
                     Output::Peer(..) => {}
                     Output::Local(_, FromStore::News(news)) => _ = m.copy.take(self.now, news),
                     Output::Local(_, FromStore::Standing { fresh_ms, leads, .. }) => {
-                        m.standing = Some((fresh_ms.is_some(), leads));
+                        m.status = Some((fresh_ms.is_some(), leads));
                     }
                     Output::Local(_, FromStore::Proposed { ticket, result }) => {
-                        assert!(m.results.insert(ticket, result).is_none(), "told once");
+                        assert!(m.results.insert(ticket, result).is_none(), "answered once");
                     }
                     Output::Local(_, FromStore::Reads { ticket, result }) => {
-                        assert!(m.reads.insert(ticket, result).is_none(), "told once");
+                        assert!(m.reads.insert(ticket, result).is_none(), "answered once");
                     }
                 }
             }
         }
     }
 
-    fn pass(&mut self, us: u64) {
+    fn advance(&mut self, us: u64) {
         let end = self.now + us;
         loop {
-            let wakes = self.machines.iter().map(|(ip, m)| (m.replica.wake_at(), *ip)).min();
-            let arrives = self.on_the_way.front().map_or(u64::MAX, |m| m.0);
-            let (wake, who) = wakes.expect("a machine");
+            let next_wake = self.machines.iter().map(|(ip, m)| (m.replica.wake_at(), *ip)).min();
+            let arrives = self.in_flight.front().map_or(u64::MAX, |m| m.0);
+            let (wake, who) = next_wake.expect("a machine");
             if wake.min(arrives) > end {
                 self.now = end;
                 return;
             }
             self.now = self.now.max(wake.min(arrives));
             if arrives <= wake {
-                let (_, from, to, peer) = self.on_the_way.pop_front().expect("just seen");
-                if !self.cut.contains(&(from, to)) {
-                    self.tell(to, Input::Peer(from, peer));
+                let (_, from, to, peer) = self.in_flight.pop_front().expect("just seen");
+                if !self.blocked.contains(&(from, to)) {
+                    self.handle(to, Input::Peer(from, peer));
                 }
             } else {
-                self.tell(who, Input::Tick);
+                self.handle(who, Input::Tick);
             }
         }
     }
 
     fn propose(&mut self, at: Ipv4Addr, command: Command) -> u64 {
         self.tickets += 1;
-        self.tell(at, Input::Local(LINK, ToStore::Propose { ticket: self.tickets, command }));
+        self.handle(at, Input::Local(LINK, ToStore::Propose { ticket: self.tickets, command }));
         self.tickets
     }
 
-    fn done(&self, at: Ipv4Addr, ticket: u64) -> Option<&Result<(u64, Done), Unsure>> {
+    fn result(&self, at: Ipv4Addr, ticket: u64) -> Option<&Result<(u64, Done), Unsure>> {
         self.machines[&at].results.get(&ticket)
     }
 
@@ -150,292 +153,306 @@
         self.machines.keys().copied().filter(|ip| *ip != leader).collect()
     }
 
-    /// Nothing that `from` sends arrives; what the others send to it does.
-    fn mute(&mut self, from: Ipv4Addr) {
-        self.cut.extend(self.machines.keys().filter(|to| **to != from).map(|to| (from, *to)));
+    /// Drops all messages that `from` sends; it still receives those of the others.
+    fn drop_outgoing(&mut self, from: Ipv4Addr) {
+        self.blocked.extend(self.machines.keys().filter(|to| **to != from).map(|to| (from, *to)));
     }
 }
 
 #[test]
-fn a_call_at_any_store_comes_back_with_what_the_state_made_of_it() {
-    let mut site = Site::new();
-    let (leader, follower) = (site.leader(), site.followers()[0]);
+fn a_proposal_at_any_store_is_answered_with_its_result() {
+    let mut cluster = Cluster::new();
+    let (leader, follower) = (cluster.leader(), cluster.followers()[0]);
     let current = |version| Ok(Done::Conflict { current: version });
-    for (at, command, is) in [
+    for (at, command, expected) in [
         (follower, put(1), Ok(Done::Taken)),
-        (leader, put(1), Ok(Done::Taken)), // the same again
+        (leader, put(1), Ok(Done::Taken)), // the same again, which is accepted
         (follower, put(3), current(1)),
         (leader, put(2), Ok(Done::Taken)),
         (follower, evacuate("a"), Ok(Done::Taken)),
     ] {
-        let ticket = site.propose(at, command);
-        site.pass(SECOND / 5);
-        let result = site.done(at, ticket).cloned().expect("told");
-        let rev = result.as_ref().map(|r| r.0).expect("agreed");
-        assert_eq!(result.map(|r| r.1), is);
-        assert!(site.machines[&at].copy.rev() >= rev, "its registry has the news");
+        let ticket = cluster.propose(at, command);
+        cluster.advance(SECOND / 5);
+        let result = cluster.result(at, ticket).cloned().expect("answered");
+        let rev = result.as_ref().map(|r| r.0).expect("committed");
+        assert_eq!(result.map(|r| r.1), expected);
+        assert!(cluster.machines[&at].copy.rev() >= rev, "its registry has the news");
     }
     let change = Change { base: 2, patch: true, body: b"{}".to_vec() };
-    let ticket = site.propose(follower, Command::Configure(change));
-    site.pass(SECOND / 5);
-    assert!(matches!(site.done(follower, ticket), Some(Ok((_, Done::Invalid(why)))) if !why.is_empty()));
-    // A read is good for all that was acknowledged, wherever it is asked for.
+    let ticket = cluster.propose(follower, Command::Configure(change));
+    cluster.advance(SECOND / 5);
+    assert!(matches!(cluster.result(follower, ticket), Some(Ok((_, Done::Invalid(why)))) if !why.is_empty()));
+    // A read covers all acknowledged entries, at whichever replica it is made.
     for at in [follower, leader] {
-        site.tell(at, Input::Local(LINK, ToStore::Read { ticket: 99 }));
-        site.pass(SECOND / 5);
-        let rev = site.machines[&at].reads[&99].expect("agreed");
-        assert!(rev >= site.machines[&leader].replica.copy.rev());
+        cluster.handle(at, Input::Local(LINK, ToStore::Read { ticket: 99 }));
+        cluster.advance(SECOND / 5);
+        let rev = cluster.machines[&at].reads[&99].expect("committed");
+        assert!(rev >= cluster.machines[&leader].replica.copy.rev());
     }
-    let states: BTreeSet<Vec<u8>> = site.machines.values().map(|m| m.copy.state.write(site.now)).collect();
-    assert_eq!(states.len(), 1, "all copies are alike");
+    let states: BTreeSet<Vec<u8>> =
+        cluster.machines.values().map(|m| m.copy.state.write(cluster.now)).collect();
+    assert_eq!(states.len(), 1, "all copies are equal");
 }
 
 #[test]
-fn a_store_that_hears_a_leader_but_lags_behind_what_it_tells_is_not_fresh() {
-    let mut site = Site::new();
-    let behind = site.followers()[0];
-    site.mute(behind);
-    let leader = site.leader();
-    // It still takes what comes in order; what it missed cannot be mended, as no answer of it arrives.
-    site.cut.insert((leader, behind));
-    let ticket = site.propose(leader, evacuate("a"));
-    site.pass(SECOND / 10);
-    assert!(matches!(site.done(leader, ticket), Some(Ok(_))), "agreed by the two others");
-    site.cut.remove(&(leader, behind));
-    let rev = site.machines[&leader].replica.copy.rev();
-    site.pass(3 * SECOND);
-    let m = &site.machines[&behind];
-    assert_eq!(m.replica.status().leader, Some(leader), "it hears who leads");
-    assert!(m.replica.copy.rev() < rev, "and has not what the leader tells of");
-    assert_eq!(m.standing, Some((false, false)));
-    site.cut.clear();
-    site.pass(2 * SECOND);
-    let m = &site.machines[&behind];
-    assert_eq!((m.standing, m.copy.rev()), (Some((true, false)), site.machines[&leader].copy.rev()));
+fn a_store_that_lags_behind_the_commit_index_of_its_leader_is_not_fresh() {
+    let mut cluster = Cluster::new();
+    let behind = cluster.followers()[0];
+    cluster.drop_outgoing(behind);
+    let leader = cluster.leader();
+    // It still accepts consecutive entries; those that it missed are not sent again, as its answers do not arrive.
+    cluster.blocked.insert((leader, behind));
+    let ticket = cluster.propose(leader, evacuate("a"));
+    cluster.advance(SECOND / 10);
+    assert!(matches!(cluster.result(leader, ticket), Some(Ok(_))), "committed by the two others");
+    cluster.blocked.remove(&(leader, behind));
+    let rev = cluster.machines[&leader].replica.copy.rev();
+    cluster.advance(3 * SECOND);
+    let m = &cluster.machines[&behind];
+    assert_eq!(m.replica.status().leader, Some(leader), "it knows the leader");
+    assert!(m.replica.copy.rev() < rev, "and lacks committed entries");
+    assert_eq!(m.status, Some((false, false)));
+    cluster.blocked.clear();
+    cluster.advance(2 * SECOND);
+    let m = &cluster.machines[&behind];
+    assert_eq!((m.status, m.copy.rev()), (Some((true, false)), cluster.machines[&leader].copy.rev()));
 }
 
 #[test]
-fn without_a_leader_nothing_is_taken_and_what_was_handed_on_is_unclear() {
-    let mut site = Site::new();
-    let (first, others) = (site.leader(), site.followers());
-    // Handed to a leader that is gone: perhaps it was taken.
-    let lost = site.machines.remove(&first).expect("there");
-    let ticket = site.propose(others[0], evacuate("a"));
-    site.pass(HOP_US);
-    assert_eq!(site.done(others[0], ticket), None);
-    site.pass(3 * SECOND);
-    assert_eq!(site.done(others[0], ticket), Some(&Err(Unsure::Perhaps)));
-    let again = site.propose(others[0], evacuate("a"));
-    site.pass(SECOND);
-    assert!(matches!(site.done(others[0], again), Some(Ok(_))), "the two others have a leader");
-    // One alone does not agree with itself; the proposal of a leader that loses the others is unclear, too.
-    let (leader, other) = (site.leader(), site.followers()[0]);
-    let kept = site.machines.remove(&other).expect("there");
-    let ticket = site.propose(leader, evacuate("b"));
-    site.pass(5 * SECOND);
-    assert_eq!(site.done(leader, ticket), Some(&Err(Unsure::Perhaps)));
-    let ticket = site.propose(leader, evacuate("c"));
-    assert_eq!(site.done(leader, ticket), Some(&Err(Unsure::Not)));
-    assert!(!site.machines[&leader].replica.fresh());
-    // All come back with their disks: what was acknowledged is there.
-    site.start(other, kept.saved);
-    site.start(first, lost.saved);
-    site.pass(5 * SECOND);
-    assert!(site.machines.values().all(|m| m.copy.state.evacuated.contains("a")));
-    assert!(site.machines.values().all(|m| m.standing.is_some_and(|s| s.0)));
+fn without_a_leader_proposals_are_refused_and_forwarded_ones_are_uncertain() {
+    let mut cluster = Cluster::new();
+    let (first, others) = (cluster.leader(), cluster.followers());
+    // Forwarded to a leader that is gone: whether it was committed is unknown.
+    let lost = cluster.machines.remove(&first).expect("there");
+    let ticket = cluster.propose(others[0], evacuate("a"));
+    cluster.advance(HOP_US);
+    assert_eq!(cluster.result(others[0], ticket), None);
+    cluster.advance(3 * SECOND);
+    assert_eq!(cluster.result(others[0], ticket), Some(&Err(Unsure::Perhaps)));
+    let retried = cluster.propose(others[0], evacuate("a"));
+    cluster.advance(SECOND);
+    assert!(matches!(cluster.result(others[0], retried), Some(Ok(_))), "the two others have a leader");
+    // One of three cannot commit; a proposal at a leader that loses the others is uncertain, too.
+    let (leader, other) = (cluster.leader(), cluster.followers()[0]);
+    let kept = cluster.machines.remove(&other).expect("there");
+    let ticket = cluster.propose(leader, evacuate("b"));
+    cluster.advance(5 * SECOND);
+    assert_eq!(cluster.result(leader, ticket), Some(&Err(Unsure::Perhaps)));
+    let ticket = cluster.propose(leader, evacuate("c"));
+    assert_eq!(cluster.result(leader, ticket), Some(&Err(Unsure::Not)));
+    assert!(!cluster.machines[&leader].replica.fresh());
+    // All come back with their disks, and what was acknowledged is kept.
+    cluster.start(other, kept.saved);
+    cluster.start(first, lost.saved);
+    cluster.advance(5 * SECOND);
+    assert!(cluster.machines.values().all(|m| m.copy.state.evacuated.contains("a")));
+    assert!(cluster.machines.values().all(|m| m.status.is_some_and(|s| s.0)));
 }
 
 #[test]
 fn a_store_that_is_started_again_has_the_state_it_had() {
-    let mut site = Site::new();
-    let at = site.followers()[0];
-    site.propose(at, put(1));
+    let mut cluster = Cluster::new();
+    let at = cluster.followers()[0];
+    cluster.propose(at, put(1));
     // Enough for a snapshot, and some commands after it.
     for n in 0..300 {
-        site.propose(at, evacuate(&format!("z{n}")));
-        site.pass(10_000);
+        cluster.propose(at, evacuate(&format!("z{n}")));
+        cluster.advance(10_000);
     }
-    site.pass(SECOND);
-    for (me, m) in &site.machines {
+    cluster.advance(SECOND);
+    for (me, m) in &cluster.machines {
         let base = m.saved.snapshot.index;
-        assert!(base > 250 && base < m.replica.copy.rev(), "a snapshot, and more: {base}");
-        let written = m.replica.copy.state.write(site.now);
-        let again = replica(*me, m.saved.clone(), 1, site.now);
-        let at_snapshot = State::read(site.now, &m.saved.snapshot.data).expect("readable");
-        assert_eq!(again.copy.rev(), base, "what follows is known once the others say that it is agreed");
+        assert!(base > 250 && base < m.replica.copy.rev(), "a snapshot, and entries after it: {base}");
+        let written = m.replica.copy.state.write(cluster.now);
+        let restarted = new_replica(*me, m.saved.clone(), 1, cluster.now);
+        let at_snapshot = State::read(cluster.now, &m.saved.snapshot.data).expect("readable");
+        assert_eq!(
+            restarted.copy.rev(),
+            base,
+            "later entries are applied once they are known to be committed"
+        );
         assert!(at_snapshot.evacuated.len() > 200 && at_snapshot.version() == 1);
-        assert_eq!(State::read(site.now, &written).expect("readable").write(site.now), written);
+        assert_eq!(State::read(cluster.now, &written).expect("readable").write(cluster.now), written);
     }
-    let before: Vec<u8> = site.machines[&at].replica.copy.state.write(site.now);
-    let all: Vec<(Ipv4Addr, Saved)> = site.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
-    site.on_the_way.clear();
-    all.into_iter().for_each(|(ip, saved)| site.start(ip, saved));
-    site.pass(3 * SECOND);
-    for m in site.machines.values() {
+    let before: Vec<u8> = cluster.machines[&at].replica.copy.state.write(cluster.now);
+    let all: Vec<(Ipv4Addr, Saved)> = cluster.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
+    cluster.in_flight.clear();
+    all.into_iter().for_each(|(ip, saved)| cluster.start(ip, saved));
+    cluster.advance(3 * SECOND);
+    for m in cluster.machines.values() {
         let mut state = m.copy.state.clone();
         assert!(
-            state.rev > State::read(site.now, &before).expect("readable").rev,
+            state.rev > State::read(cluster.now, &before).expect("readable").rev,
             "a new leader's first entry"
         );
-        state.rev = State::read(site.now, &before).expect("readable").rev;
-        assert_eq!(state.write(site.now), before);
+        state.rev = State::read(cluster.now, &before).expect("readable").rev;
+        assert_eq!(state.write(cluster.now), before);
     }
-    // A state in a form that this program cannot read ends the start, and names the form.
-    let mut saved = site.machines[&at].saved.clone();
+    // A start on a state of an unknown format fails, and the error names the format.
+    let mut saved = cluster.machines[&at].saved.clone();
     let mut snapshot = (*saved.snapshot).clone();
     snapshot.data[0] = 9;
     saved.snapshot = snapshot.into();
-    let refused = Replica::new(at, 0, saved, Vec::new(), 1, site.now).err().expect("refused");
+    let refused = Replica::new(at, 0, saved, Vec::new(), 1, cluster.now).err().expect("refused");
     assert!(refused.contains("form 9"), "{refused}");
 }
 
 #[test]
-fn a_store_is_fresh_by_what_it_asked_and_was_told_since() {
-    // Cut off whole, unheard, or deaf: each ends it within the bound, for who leads and for who follows.
-    for (heard, hears) in [(false, false), (false, true), (true, false)] {
+fn a_store_that_cannot_reach_the_others_or_hear_them_is_not_fresh() {
+    // Isolated in both directions, receiving only or sending only: each ends freshness within the bound, for a leader and for
+    // a follower.
+    for (sends, receives) in [(false, false), (false, true), (true, false)] {
         for leads in [true, false] {
-            let mut site = Site::new();
-            let who = if leads { site.leader() } else { site.followers()[0] };
+            let mut cluster = Cluster::new();
+            let who = if leads { cluster.leader() } else { cluster.followers()[0] };
             for other in [ip(1), ip(2), ip(3)].into_iter().filter(|o| *o != who) {
-                if !heard {
-                    site.cut.insert((who, other));
+                if !sends {
+                    cluster.blocked.insert((who, other));
                 }
-                if !hears {
-                    site.cut.insert((other, who));
+                if !receives {
+                    cluster.blocked.insert((other, who));
                 }
             }
-            site.pass(FRESH_US + 1);
-            assert_eq!(site.machines[&who].standing.map(|s| s.0), Some(false), "{heard} {hears} {leads}");
-            site.pass(4 * SECOND);
-            let others = site.machines.iter().filter(|(ip, _)| **ip != who);
-            assert!(others.clone().all(|(_, m)| m.standing.is_some_and(|s| s.0)), "{heard} {hears} {leads}");
-            site.cut.clear();
-            site.pass(3 * SECOND);
-            assert!(site.machines[&who].standing.is_some_and(|s| s.0), "{heard} {hears} {leads}");
+            cluster.advance(FRESH_US + 1);
+            assert_eq!(cluster.machines[&who].status.map(|s| s.0), Some(false), "{sends} {receives} {leads}");
+            cluster.advance(4 * SECOND);
+            let others = cluster.machines.iter().filter(|(ip, _)| **ip != who);
+            assert!(others.clone().all(|(_, m)| m.status.is_some_and(|s| s.0)), "{sends} {receives} {leads}");
+            cluster.blocked.clear();
+            cluster.advance(3 * SECOND);
+            assert!(cluster.machines[&who].status.is_some_and(|s| s.0), "{sends} {receives} {leads}");
         }
     }
 }
 
 #[test]
 fn a_leader_that_is_lost_leaves_the_others_fresh_until_there_is_another() {
-    let mut site = Site::new();
-    let first = site.leader();
-    site.machines.remove(&first);
+    let mut cluster = Cluster::new();
+    let first = cluster.leader();
+    cluster.machines.remove(&first);
     for _ in 0..40 {
-        site.pass(SECOND / 20);
+        cluster.advance(SECOND / 20);
         assert!(
-            site.machines.values().all(|m| m.standing.is_some_and(|s| s.0)),
-            "servers need not go elsewhere"
+            cluster.machines.values().all(|m| m.status.is_some_and(|s| s.0)),
+            "all stay fresh during the election"
         );
     }
 }
 
 #[test]
-fn a_duty_lands_in_its_term_or_never() {
-    let mut site = Site::new();
-    let (leader, other) = (site.leader(), site.followers()[0]);
-    let term = site.machines[&leader].replica.status().term;
-    let duty = |site: &mut Site, at: Ipv4Addr, term: u64, zone: &str| {
-        site.tickets += 1;
-        let (ticket, command) = (site.tickets, evacuate(zone));
-        site.tell(at, Input::Local(LINK, ToStore::Duty { ticket, term, command }));
+fn a_command_fenced_by_term_is_committed_in_that_term_or_never() {
+    let mut cluster = Cluster::new();
+    let (leader, other) = (cluster.leader(), cluster.followers()[0]);
+    let term = cluster.machines[&leader].replica.status().term;
+    let duty = |cluster: &mut Cluster, at: Ipv4Addr, term: u64, zone: &str| {
+        cluster.tickets += 1;
+        let (ticket, command) = (cluster.tickets, evacuate(zone));
+        cluster.handle(at, Input::Local(LINK, ToStore::Duty { ticket, term, command }));
         ticket
     };
-    let late = duty(&mut site, leader, term - 1, "a");
-    assert_eq!(site.done(leader, late), Some(&Err(Unsure::Not)), "a term that is over");
-    let elsewhere = duty(&mut site, other, term, "a");
-    assert_eq!(site.done(other, elsewhere), Some(&Err(Unsure::Not)), "it is not handed on");
-    let taken = duty(&mut site, leader, term, "b");
-    site.pass(SECOND);
-    assert!(matches!(site.done(leader, taken), Some(Ok(_))));
-    // The leader is stopped, others elect another; the first thing that it reads when it wakes is a duty.
-    let stopped = site.machines.remove(&leader).expect("there");
-    site.pass(5 * SECOND);
-    site.machines.insert(leader, stopped);
-    let woken = duty(&mut site, leader, term, "c");
-    assert_eq!(site.done(leader, woken), Some(&Err(Unsure::Not)));
-    site.pass(5 * SECOND);
-    assert!(site.machines.values().all(|m| !m.copy.state.evacuated.contains("c")), "acted late");
-    assert!(site.machines.values().all(|m| m.copy.state.evacuated.contains("b")));
+    let late = duty(&mut cluster, leader, term - 1, "a");
+    assert_eq!(cluster.result(leader, late), Some(&Err(Unsure::Not)), "a past term");
+    let elsewhere = duty(&mut cluster, other, term, "a");
+    assert_eq!(cluster.result(other, elsewhere), Some(&Err(Unsure::Not)), "it is not forwarded");
+    let taken = duty(&mut cluster, leader, term, "b");
+    cluster.advance(SECOND);
+    assert!(matches!(cluster.result(leader, taken), Some(Ok(_))));
+    // The leader is suspended and another is elected; the first input after it resumes is a command of its old term.
+    let suspended = cluster.machines.remove(&leader).expect("there");
+    cluster.advance(5 * SECOND);
+    cluster.machines.insert(leader, suspended);
+    let resumed = duty(&mut cluster, leader, term, "c");
+    assert_eq!(cluster.result(leader, resumed), Some(&Err(Unsure::Not)));
+    cluster.advance(5 * SECOND);
+    assert!(
+        cluster.machines.values().all(|m| !m.copy.state.evacuated.contains("c")),
+        "committed in a later term"
+    );
+    assert!(cluster.machines.values().all(|m| m.copy.state.evacuated.contains("b")));
 }
 
 #[test]
-fn a_spare_serves_and_takes_the_place_of_one_that_is_asked_to_end() {
+fn a_spare_serves_calls_and_replaces_a_member_that_stops() {
     for leads in [false, true] {
-        let mut site = Site::new();
+        let mut cluster = Cluster::new();
         let spare = ip(4);
-        site.start(spare, Saved::blank());
+        cluster.start(spare, Saved::blank());
         let seeds = vec![ip(1), ip(2), ip(3)];
         for me in [ip(1), ip(2), ip(3), spare] {
-            site.tell(me, Input::Settings { size: Some(3), seeds: seeds.clone() });
+            cluster.handle(me, Input::Settings { size: Some(3), seeds: seeds.clone() });
         }
-        site.pass(2 * SECOND);
-        assert_eq!(site.machines[&spare].standing, Some((true, false)), "fresh, though it does not count");
-        let ticket = site.propose(spare, evacuate("a"));
-        site.pass(SECOND / 5);
-        assert!(matches!(site.done(spare, ticket), Some(Ok(_))), "it hands calls to the leader");
-        // One is asked to end: it goes on until the spare has its place.
-        let leader = site.leader();
-        let leaver = if leads { leader } else { site.followers()[0] };
-        let asked = site.now;
-        site.tell(leaver, Input::Stop);
-        while site.machines[&leaver].replica.ends_at().expect("asked") > site.now {
-            site.pass(10_000);
+        cluster.advance(2 * SECOND);
+        assert_eq!(cluster.machines[&spare].status, Some((true, false)), "fresh, though it does not vote");
+        let ticket = cluster.propose(spare, evacuate("a"));
+        cluster.advance(SECOND / 5);
+        assert!(matches!(cluster.result(spare, ticket), Some(Ok(_))), "it forwards calls to the leader");
+        // A member is asked to stop: it goes on until the spare has replaced it.
+        let leader = cluster.leader();
+        let stopping = if leads { leader } else { cluster.followers()[0] };
+        let asked = cluster.now;
+        cluster.handle(stopping, Input::Stop);
+        while cluster.machines[&stopping].replica.ends_at().expect("asked") > cluster.now {
+            cluster.advance(10_000);
         }
-        assert!(site.now - asked < SECOND, "with a spare that has caught up that is soon");
-        site.machines.remove(&leaver);
-        site.pass(SECOND);
-        // One more loss is borne, whoever it is.
-        let next = site.leader();
-        site.machines.remove(&next);
-        site.pass(4 * SECOND);
-        let at = *site.machines.keys().next().expect("two are left");
-        let ticket = site.propose(at, evacuate("b"));
-        site.pass(SECOND / 2);
-        assert!(matches!(site.done(at, ticket), Some(Ok(_))), "{leads}: {:?}", site.done(at, ticket));
+        assert!(cluster.now - asked < SECOND, "a spare that has caught up replaces it quickly");
+        cluster.machines.remove(&stopping);
+        cluster.advance(SECOND);
+        // One more loss is tolerated, also that of the leader.
+        let next = cluster.leader();
+        cluster.machines.remove(&next);
+        cluster.advance(4 * SECOND);
+        let at = *cluster.machines.keys().next().expect("two are left");
+        let ticket = cluster.propose(at, evacuate("b"));
+        cluster.advance(SECOND / 2);
+        assert!(
+            matches!(cluster.result(at, ticket), Some(Ok(_))),
+            "{leads}: {:?}",
+            cluster.result(at, ticket)
+        );
     }
 }
 
 #[test]
-fn without_a_spare_one_that_is_asked_to_end_ends_soon_and_stays_a_member() {
-    let mut site = Site::new();
-    let (leader, asked) = (site.leader(), site.now);
-    site.tell(leader, Input::Stop);
-    let ends = site.machines[&leader].replica.ends_at();
+fn without_a_spare_a_stopping_member_exits_soon_and_stays_a_member() {
+    let mut cluster = Cluster::new();
+    let (leader, asked) = (cluster.leader(), cluster.now);
+    cluster.handle(leader, Input::Stop);
+    let ends = cluster.machines[&leader].replica.ends_at();
     assert_eq!(ends, Some(asked + 400_000));
-    site.pass(400_000);
-    assert_ne!(site.leader(), leader, "another leads");
-    let gone = site.machines.remove(&leader).expect("there");
-    site.pass(SECOND);
-    site.start(leader, gone.saved);
-    site.pass(SECOND);
-    assert!(site.machines.values().all(|m| m.standing.is_some_and(|s| s.0)));
+    cluster.advance(400_000);
+    assert_ne!(cluster.leader(), leader, "another leads");
+    let gone = cluster.machines.remove(&leader).expect("there");
+    cluster.advance(SECOND);
+    cluster.start(leader, gone.saved);
+    cluster.advance(SECOND);
+    assert!(cluster.machines.values().all(|m| m.status.is_some_and(|s| s.0)));
 }
 
-/// Seen by reading, where core machines end in series: a store that has just started again is told what became of a call of
-/// its life before, under a number that it has given to another call since, and would pass that on as the acknowledgement
-/// of what nobody has agreed on. The numbers of two lives must not meet.
+/// Guards against a fault that was found by reading the code, for core machines that restart one after another: a store
+/// that has just restarted gets the answer to a call of its previous incarnation. If a new call had the same ticket, the
+/// store would pass that on as the acknowledgement of a command that nobody committed. So tickets of two incarnations
+/// must not overlap.
 #[test]
-fn an_answer_to_a_call_of_an_earlier_life_is_no_answer_to_another() {
-    let mut site = Site::new();
-    let (leader, me) = (site.leader(), site.followers()[0]);
-    let saved = site.machines[&me].saved.clone();
-    // Its first life is asked, and the answer waits on its way.
-    site.start(me, saved.clone());
-    site.pass(SECOND / 2);
-    site.propose(me, evacuate("a"));
-    let answers = |m: &(u64, Ipv4Addr, Ipv4Addr, Peer)| m.2 == me && matches!(m.3, Peer::Proposed { .. });
+fn a_late_answer_to_a_call_before_a_restart_is_ignored() {
+    let mut cluster = Cluster::new();
+    let (leader, me) = (cluster.leader(), cluster.followers()[0]);
+    let saved = cluster.machines[&me].saved.clone();
+    // The first incarnation gets a call, and the answer is delayed.
+    cluster.start(me, saved.clone());
+    cluster.advance(SECOND / 2);
+    cluster.propose(me, evacuate("a"));
+    let is_answer = |m: &(u64, Ipv4Addr, Ipv4Addr, Peer)| m.2 == me && matches!(m.3, Peer::Proposed { .. });
     let late = loop {
-        if let Some(at) = site.on_the_way.iter().position(answers) {
-            break site.on_the_way.remove(at).expect("just seen").3;
+        if let Some(at) = cluster.in_flight.iter().position(is_answer) {
+            break cluster.in_flight.remove(at).expect("just seen").3;
         }
-        site.pass(HOP_US);
+        cluster.advance(HOP_US);
     };
-    // The next life is as old when it is asked, and what it hands on is lost.
-    site.start(me, saved);
-    site.pass(SECOND / 2);
-    site.cut.insert((me, leader));
-    let second = site.propose(me, evacuate("b"));
-    site.tell(me, Input::Peer(leader, late));
-    assert_eq!(site.done(me, second), None, "nobody has agreed on it");
+    // The next incarnation gets a call at the same age, and the message that forwards it is lost.
+    cluster.start(me, saved);
+    cluster.advance(SECOND / 2);
+    cluster.blocked.insert((me, leader));
+    let second = cluster.propose(me, evacuate("b"));
+    cluster.handle(me, Input::Peer(leader, late));
+    assert_eq!(cluster.result(me, second), None, "nobody has committed it");
 }
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's folder in an operator's hands: checked, listed, backed up, put back, founded anew.
+//! The operator's commands on the directory of a store: check, dump, backup, restore and refound.
 
 use cluster::state::{Command, State};
 use cluster::talk::ToStore;
@@ -16,14 +16,14 @@
     Ipv4Addr::new(10, 8, 0, last)
 }
 
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempDir {
+    fn new(name: &str) -> TempDir {
         let path = std::env::temp_dir().join(format!("planchest-store-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a directory");
+        TempDir(path)
     }
 
     fn at(&self, name: &str) -> PathBuf {
@@ -31,7 +31,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -41,11 +41,11 @@
     Command::Evacuate { zone: zone.into(), on: true }
 }
 
-/// A store of `who` with an evacuation in each entry of term 1; the first `commit` of them count.
-fn filled(dir: &Path, who: u8, zones: &[&str], commit: u64) -> Saved {
+/// Writes a store of `who` with one entry of term 1 for each evacuated zone, the first `commit` of them committed.
+fn write_store(dir: &Path, who: u8, zones: &[&str], commit: u64) -> Saved {
     let founders = [ip(1), ip(2), ip(3)];
-    let (store, mut saved) = Store::open(dir, ip(who), || (0, Saved::founding(founders))).expect("made");
-    let data = |zone: &str| Payload::Data(postcard::to_stdvec(&evacuate(zone)).expect("plain"));
+    let (store, mut saved) = Store::open(dir, ip(who), || (0, Saved::founding(founders))).expect("created");
+    let data = |zone: &str| Payload::Data(postcard::to_stdvec(&evacuate(zone)).expect("serializable"));
     let entries = zones.iter().enumerate();
     let write = Write {
         number: 1,
@@ -59,30 +59,30 @@
     saved
 }
 
-fn bytes(dir: &Path) -> Vec<u8> {
-    std::fs::read(dir.join("ratchet.redb")).expect("there")
+fn store_bytes(dir: &Path) -> Vec<u8> {
+    std::fs::read(dir.join("ratchet.redb")).expect("exists")
 }
 
 #[test]
-fn looking_changes_nothing_and_names_what_is_wrong() {
-    let folder = Folder::new("look");
-    let dir = folder.at("a");
-    filled(&dir, 1, &["north", "south"], 1);
-    let before = bytes(&dir);
-    let said = store::check(&dir).expect("sound");
-    assert!(said.contains("10.8.0.1, disk 0, voting member") && said.contains("entries 1 to 2"), "{said}");
-    assert!(said.contains("known to be committed up to 1") && said.contains("north, south"), "{said}");
-    let said = store::dump(&dir).expect("readable");
-    assert!(said.contains("evacuate south (not known to be committed)"), "{said}");
-    assert_eq!(bytes(&dir), before);
-    let open = Store::open(&dir, ip(1), || panic!("it is there")).expect("opened");
+fn check_and_dump_change_nothing_and_report_what_is_wrong() {
+    let temp = TempDir::new("look");
+    let dir = temp.at("a");
+    write_store(&dir, 1, &["north", "south"], 1);
+    let before = store_bytes(&dir);
+    let text = store::check(&dir).expect("sound");
+    assert!(text.contains("10.8.0.1, disk 0, voting member") && text.contains("entries 1 to 2"), "{text}");
+    assert!(text.contains("known to be committed up to 1") && text.contains("north, south"), "{text}");
+    let text = store::dump(&dir).expect("readable");
+    assert!(text.contains("evacuate south (not known to be committed)"), "{text}");
+    assert_eq!(store_bytes(&dir), before);
+    let open = Store::open(&dir, ip(1), || panic!("the store exists")).expect("opened");
     assert!(store::check(&dir).expect_err("in use").contains("in use by another process"));
     drop(open);
 
-    // A byte that has changed; a store of a later program; a log that no member writes.
-    let broken = folder.at("broken");
-    filled(&broken, 1, &["north", "a-zone-with-a-name-to-be-found"], 2);
-    let mut changed = bytes(&broken);
+    // A changed byte; a commit index beyond the end of the log; a file that is cut short; no store at all.
+    let broken = temp.at("broken");
+    write_store(&broken, 1, &["north", "a-zone-with-a-name-to-be-found"], 2);
+    let mut changed = store_bytes(&broken);
     let name = b"a-zone-with-a-name-to-be-found";
     let at: Vec<usize> =
         changed.windows(name.len()).enumerate().filter(|(_, w)| w == name).map(|p| p.0).collect();
@@ -90,43 +90,43 @@
     at.iter().for_each(|at| changed[at + 3] ^= 1);
     std::fs::write(broken.join("ratchet.redb"), changed).expect("changed");
     assert!(store::check(&broken).expect_err("refused").contains("ratchet.redb"));
-    let odd = folder.at("odd");
-    filled(&odd, 1, &["north"], 7);
-    assert!(store::check(&odd).expect_err("refused").contains("entry 7 is marked as committed"));
-    let cut = folder.at("cut");
-    std::fs::create_dir_all(&cut).expect("a folder");
-    std::fs::write(cut.join("ratchet.redb"), &before[..before.len() / 3]).expect("cut");
-    assert!(store::check(&cut).is_err());
-    assert!(store::check(&folder.at("nothing")).is_err());
-    assert!(!folder.at("nothing").exists(), "looking makes no folder");
+    let inconsistent = temp.at("odd");
+    write_store(&inconsistent, 1, &["north"], 7);
+    assert!(store::check(&inconsistent).expect_err("refused").contains("entry 7 is marked as committed"));
+    let truncated = temp.at("cut");
+    std::fs::create_dir_all(&truncated).expect("a directory");
+    std::fs::write(truncated.join("ratchet.redb"), &before[..before.len() / 3]).expect("written");
+    assert!(store::check(&truncated).is_err());
+    assert!(store::check(&temp.at("nothing")).is_err());
+    assert!(!temp.at("nothing").exists(), "check creates no directory");
 }
 
 #[test]
-fn a_backup_comes_back_whole_as_a_stranger_and_over_nothing_unasked() {
-    let folder = Folder::new("back");
-    let (dir, file) = (folder.at("a"), folder.at("a.backup"));
-    let saved = filled(&dir, 1, &["north", "south"], 2);
+fn a_restored_backup_is_complete_has_no_vote_and_overwrites_nothing_unasked() {
+    let temp = TempDir::new("back");
+    let (dir, file) = (temp.at("a"), temp.at("a.backup"));
+    let saved = write_store(&dir, 1, &["north", "south"], 2);
     store::backup(&dir, &file).expect("written");
-    let first = std::fs::read(&file).expect("there");
-    assert!(store::backup(&dir, &file).is_err(), "a backup is not written over");
-    assert_eq!(std::fs::read(&file).expect("there"), first);
+    let first = std::fs::read(&file).expect("exists");
+    assert!(store::backup(&dir, &file).is_err(), "an existing backup is not overwritten");
+    assert_eq!(std::fs::read(&file).expect("exists"), first);
 
-    let to = folder.at("b");
-    let said = store::restore(&file, &to, None, 77, false).expect("restored");
-    assert!(said.contains("disk 77 of 10.8.0.1") && said.contains("starts without a vote"), "{said}");
-    let look = disk::look(&to).expect("there");
+    let to = temp.at("b");
+    let text = store::restore(&file, &to, None, 77, false).expect("restored");
+    assert!(text.contains("disk 77 of 10.8.0.1") && text.contains("starts without a vote"), "{text}");
+    let look = disk::look(&to).expect("exists");
     assert_eq!((look.disk, look.member), (77, ip(1)));
     assert_eq!(look.saved, saved.stranger());
     assert!(!look.saved.hard.standing && look.saved.hard.vote.is_none());
-    let before = bytes(&to);
+    let before = store_bytes(&to);
     let error = store::restore(&file, &to, None, 78, false).expect_err("not empty");
-    assert!(error.contains("is not empty") && bytes(&to) == before, "{error}");
-    let said = store::restore(&file, &to, Some(ip(2)), 78, true).expect("asked for");
-    assert!(said.contains("set aside: disk 77"), "{said}");
-    assert_eq!(disk::look(&to).expect("there").member, ip(2));
+    assert!(error.contains("is not empty") && store_bytes(&to) == before, "{error}");
+    let text = store::restore(&file, &to, Some(ip(2)), 78, true).expect("--over was given");
+    assert!(text.contains("set aside: disk 77"), "{text}");
+    assert_eq!(disk::look(&to).expect("exists").member, ip(2));
     assert_eq!(std::fs::read(to.join("ratchet.redb.aside-1")).expect("kept"), before);
 
-    // Of a later program, changed by a byte, cut short.
+    // A backup of a later version, one with a changed byte, a truncated one, and a file that is none.
     let mut later = first.clone();
     later[8] += 1;
     let mut changed = first.clone();
@@ -138,21 +138,21 @@
         (vec![1], "not a backup"),
     ] {
         std::fs::write(&file, bytes).expect("written");
-        let error = store::restore(&file, &folder.at("c"), None, 79, false).expect_err("refused");
+        let error = store::restore(&file, &temp.at("c"), None, 79, false).expect_err("refused");
         assert!(error.contains(why), "{error}");
-        assert!(!folder.at("c").exists());
+        assert!(!temp.at("c").exists());
     }
 }
 
-/// Machines with stores on disks of the test's own, whose messages all arrive.
-struct Site {
+/// Replicas in a simulated cluster that keeps their disks and delivers all messages.
+struct Cluster {
     now: u64,
     machines: BTreeMap<Ipv4Addr, (Replica, Saved)>,
-    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::replica::Peer)>,
-    acked: usize,
+    in_flight: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::replica::Peer)>,
+    acknowledged: usize,
 }
 
-impl Site {
+impl Cluster {
     fn start(&mut self, who: Ipv4Addr, disk: Disk, saved: Saved) {
         let seeds = vec![ip(1), ip(2), ip(3)];
         let replica =
@@ -161,7 +161,7 @@
         self.machines.insert(who, (replica, saved));
     }
 
-    fn tell(&mut self, who: Ipv4Addr, input: Input) {
+    fn handle(&mut self, who: Ipv4Addr, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let Some((replica, saved)) = self.machines.get_mut(&who) else { return };
@@ -173,9 +173,9 @@
                         write.apply(saved);
                         inputs.push_back(Input::Written(write.number));
                     }
-                    Output::Peer(to, peer) => self.on_the_way.push_back((who, to, peer)),
+                    Output::Peer(to, peer) => self.in_flight.push_back((who, to, peer)),
                     Output::Local(_, cluster::talk::FromStore::Proposed { result: Ok(_), .. }) => {
-                        self.acked += 1
+                        self.acknowledged += 1
                     }
                     Output::Local(..) => {}
                 }
@@ -183,16 +183,16 @@
         }
     }
 
-    fn pass(&mut self, us: u64) {
+    fn advance(&mut self, us: u64) {
         let end = self.now + us;
         while self.now < end {
-            while let Some((from, to, peer)) = self.on_the_way.pop_front() {
-                self.tell(to, Input::Peer(from, peer));
+            while let Some((from, to, peer)) = self.in_flight.pop_front() {
+                self.handle(to, Input::Peer(from, peer));
             }
             self.now += 10_000;
             for who in self.machines.keys().copied().collect::<Vec<_>>() {
                 if self.machines[&who].0.wake_at() <= self.now {
-                    self.tell(who, Input::Tick);
+                    self.handle(who, Input::Tick);
                 }
             }
         }
@@ -204,77 +204,79 @@
 }
 
 #[test]
-fn a_core_founded_anew_keeps_what_its_disk_had_and_lets_the_others_in() {
-    let folder = Folder::new("anew");
-    let dir = folder.at("a");
-    filled(&dir, 1, &["north", "south"], 1);
-    let before = bytes(&dir);
-    let said = store::refound(&dir, 500, false).expect("shown");
-    assert!(said.contains("May be lost") && said.contains("10.8.0.2, 10.8.0.3"), "{said}");
-    assert!(said.contains("1 more are on this disk") && said.contains("Nothing was done"), "{said}");
-    assert_eq!(bytes(&dir), before, "only shown");
+fn a_core_founded_anew_keeps_the_state_of_its_disk_and_admits_the_others() {
+    let temp = TempDir::new("anew");
+    let dir = temp.at("a");
+    write_store(&dir, 1, &["north", "south"], 1);
+    let before = store_bytes(&dir);
+    let text = store::refound(&dir, 500, false).expect("shown");
+    assert!(text.contains("May be lost") && text.contains("10.8.0.2, 10.8.0.3"), "{text}");
+    assert!(text.contains("1 more are on this disk") && text.contains("Nothing was done"), "{text}");
+    assert_eq!(store_bytes(&dir), before, "without --yes nothing is changed");
     store::refound(&dir, 500, true).expect("done");
-    assert_eq!(bytes_of(&dir, "ratchet.redb.aside-1"), before, "the old one is kept");
-    let look = disk::look(&dir).expect("there");
+    assert_eq!(file_bytes(&dir, "ratchet.redb.aside-1"), before, "the old store is kept");
+    let look = disk::look(&dir).expect("exists");
     assert_eq!((look.disk, look.saved.roster().members.len()), (500, 1));
 
-    let mut site = Site { now: SECOND, machines: BTreeMap::new(), on_the_way: VecDeque::new(), acked: 0 };
-    site.start(ip(1), look.disk, look.saved);
-    site.pass(3 * SECOND);
-    assert!(site.machines[&ip(1)].0.leads(), "alone it is the majority");
+    let mut cluster =
+        Cluster { now: SECOND, machines: BTreeMap::new(), in_flight: VecDeque::new(), acknowledged: 0 };
+    cluster.start(ip(1), look.disk, look.saved);
+    cluster.advance(3 * SECOND);
+    assert!(cluster.machines[&ip(1)].0.leads(), "alone it is the majority");
     for (who, disk) in [(2, 600), (3, 700)] {
-        site.start(ip(who), disk, Saved::blank());
-        site.pass(5 * SECOND);
-        assert!(site.machines[&ip(who)].0.fresh(), "{who} is let in");
+        cluster.start(ip(who), disk, Saved::blank());
+        cluster.advance(5 * SECOND);
+        assert!(cluster.machines[&ip(who)].0.fresh(), "{who} is admitted");
     }
-    // One of the old core that did come back: more of the old log than was kept, and it cannot mix in.
-    let old = folder.at("old");
-    let more = filled(&old, 2, &["north", "south", "east", "west"], 4);
-    site.start(ip(2), 0, more);
-    site.pass(5 * SECOND);
+    // A member of the old core comes back with more of the old log than was kept: its entries must not enter the new log.
+    let old = temp.at("old");
+    let more = write_store(&old, 2, &["north", "south", "east", "west"], 4);
+    cluster.start(ip(2), 0, more);
+    cluster.advance(5 * SECOND);
     let command = evacuate("new");
     for _ in 0..2 {
         for who in [1, 2, 3] {
-            let ask = ToStore::Propose { ticket: 1, command: command.clone() };
-            site.tell(ip(who), Input::Local(1, ask));
+            let proposal = ToStore::Propose { ticket: 1, command: command.clone() };
+            cluster.handle(ip(who), Input::Local(1, proposal));
         }
-        site.pass(SECOND);
+        cluster.advance(SECOND);
     }
-    assert!(site.acked > 0, "two of three go on");
+    assert!(cluster.acknowledged > 0, "two of three make progress");
     for who in [1, 3] {
-        let zones: Vec<&str> = site.state(who).evacuated.iter().map(String::as_str).collect();
+        let zones: Vec<&str> = cluster.state(who).evacuated.iter().map(String::as_str).collect();
         assert_eq!(zones, ["new", "north", "south"], "at {who}");
     }
 }
 
-fn bytes_of(dir: &Path, name: &str) -> Vec<u8> {
-    std::fs::read(dir.join(name)).expect("there")
+fn file_bytes(dir: &Path, name: &str) -> Vec<u8> {
+    std::fs::read(dir.join(name)).expect("exists")
 }
 
-/// An old copy beside two that went on: it lacks what was acknowledged since, and nothing of it is lost.
+/// A backup is restored beside two members that went on: it lacks what was acknowledged since, and nothing of that is lost.
 #[test]
-fn an_old_copy_is_let_in_as_a_stranger_and_takes_what_it_lacks() {
-    let folder = Folder::new("old");
-    let mut site = Site { now: SECOND, machines: BTreeMap::new(), on_the_way: VecDeque::new(), acked: 0 };
+fn an_old_copy_is_admitted_without_a_vote_and_gets_what_it_lacks() {
+    let temp = TempDir::new("old");
+    let mut cluster =
+        Cluster { now: SECOND, machines: BTreeMap::new(), in_flight: VecDeque::new(), acknowledged: 0 };
     for who in [1, 2, 3] {
-        site.start(ip(who), 0, Saved::founding([ip(1), ip(2), ip(3)]));
+        cluster.start(ip(who), 0, Saved::founding([ip(1), ip(2), ip(3)]));
     }
-    site.pass(3 * SECOND);
-    let dir = folder.at("a");
-    let copy = site.machines[&ip(3)].1.clone();
-    Store::open(&dir, ip(3), || (0, copy)).expect("made");
-    store::backup(&dir, &folder.at("backup")).expect("written");
+    cluster.advance(3 * SECOND);
+    let dir = temp.at("a");
+    let copy = cluster.machines[&ip(3)].1.clone();
+    Store::open(&dir, ip(3), || (0, copy)).expect("created");
+    store::backup(&dir, &temp.at("backup")).expect("written");
     for zone in ["a", "b", "c"] {
-        let ask = ToStore::Propose { ticket: 1, command: evacuate(zone) };
-        site.tell(ip(1), Input::Local(1, ask));
-        site.pass(SECOND);
+        let proposal = ToStore::Propose { ticket: 1, command: evacuate(zone) };
+        cluster.handle(ip(1), Input::Local(1, proposal));
+        cluster.advance(SECOND);
     }
-    assert_eq!(site.acked, 3);
-    store::restore(&folder.at("backup"), &folder.at("b"), None, 900, false).expect("restored");
-    let look = disk::look(&folder.at("b")).expect("there");
-    site.start(ip(3), look.disk, look.saved);
-    assert!(!site.machines[&ip(3)].0.fresh());
-    site.pass(5 * SECOND);
-    assert!(site.machines[&ip(3)].0.fresh(), "let in");
-    assert_eq!(site.state(3).evacuated.len(), 3);
+    assert_eq!(cluster.acknowledged, 3);
+    store::restore(&temp.at("backup"), &temp.at("b"), None, 900, false).expect("restored");
+    let look = disk::look(&temp.at("b")).expect("exists");
+    cluster.start(ip(3), look.disk, look.saved);
+    assert!(!cluster.machines[&ip(3)].0.fresh());
+    cluster.advance(5 * SECOND);
+    assert!(cluster.machines[&ip(3)].0.fresh(), "admitted");
+    assert_eq!(cluster.state(3).evacuated.len(), 3);
 }
