--- a/crates/config-store/src/chest.rs
+++ b/crates/config-store/src/chest.rs
@@ -4,7 +4,7 @@
 use cluster::state::{Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, StorePeer, ToStore, Unsure};
 use cluster::{Micros, Rev};
-use consensus::{Disk, Message, NotLeader, Payload, Ratchet, Role, Saved, Timing, Write};
+use consensus::{Disk, Message, NotLeader, Payload, Replica, Role, Saved, Timing, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -113,7 +113,7 @@
     me: Ipv4Addr,
     disk: Disk,
     now: Micros,
-    consensus: Ratchet,
+    consensus: Replica,
     out: consensus::Output,
     pub copy: Copy,
     seeds: Vec<Ipv4Addr>,
@@ -161,7 +161,7 @@
         }
         state.rev = state.rev.max(saved.snapshot.index);
         let (snapshot_at, snapshot_bytes) = (state.rev, saved.snapshot.data.len());
-        let consensus = Ratchet::new(me, disk, saved, life, Timing::default(), now);
+        let consensus = Replica::new(me, disk, saved, life, Timing::default(), now);
         let mut chest = Chest {
             me,
             disk,
--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -183,7 +183,7 @@
 }
 
 #[cfg_attr(test, derive(Clone, Hash))]
-pub struct Ratchet {
+pub struct Replica {
     me: Member,
     disk: Disk,
     timing: Timing,
@@ -229,16 +229,16 @@
     pub(crate) fault: Option<Fault>,
 }
 
-impl Ratchet {
+impl Replica {
     /// `disk`: the number of this disk; `saved`: what is on it. The host has loaded `saved.snapshot` into its
     /// state.
-    pub fn new(me: Member, disk: Disk, saved: Saved, seed: u64, timing: Timing, now: Micros) -> Ratchet {
+    pub fn new(me: Member, disk: Disk, saved: Saved, seed: u64, timing: Timing, now: Micros) -> Replica {
         let mut hard = saved.hard.clone();
         let given = saved.snapshot.index;
         let log = Log::new(saved);
         hard.commit = hard.commit.min(log.last()).max(given);
         let safe = (hard.term, hard.standing, hard.vote);
-        let mut consensus = Ratchet {
+        let mut consensus = Replica {
             me,
             disk,
             timing,
@@ -297,7 +297,7 @@
         self.told.max(self.hard.commit)
     }
 
-    /// Whether [`Ratchet::told`] reaches all that was acknowledged until lately: a leader of this term has told it, and has
+    /// Whether [`Replica::told`] reaches all that was acknowledged until lately: a leader of this term has told it, and has
     /// committed an entry of its own, so that it knows what those before it have committed.
     pub fn knows(&self) -> bool {
         if fault!(self, FreshByParts) {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! One elected leader orders all changes in a log; a change counts once a majority of the members has it on
 //! disk.
 //!
-//! [`Ratchet`] decides: inputs in, messages, writes and answers out, no clock, chance or I/O of its own.
+//! [`Replica`] decides: inputs in, messages, writes and answers out, no clock, chance or I/O of its own.
 //! [`disk`] keeps what it writes. Time is told with every input, chance comes from a seed.
 //!
 //! # Elections and the log
@@ -46,7 +46,7 @@
 #[cfg(test)]
 mod sim;
 
-pub use crate::core::Ratchet;
+pub use crate::core::Replica;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -7,7 +7,7 @@
 
 use crate::core::Fault;
 use crate::{
-    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Ratchet, Role, Roster, Saved, Timing, Write,
+    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Replica, Role, Roster, Saved, Timing, Write,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -37,7 +37,7 @@
     disk: Disk,
     saved: Saved,
     write: Option<Write>,
-    consensus: Ratchet,
+    consensus: Replica,
     wake: Micros,
     applied: u64,
 }
@@ -165,7 +165,7 @@
     }
 
     fn node(&self, node: usize, disk: Disk, saved: Saved) -> Node {
-        let mut consensus = Ratchet::new(member(node), disk, saved.clone(), 0, TIMING, NOW);
+        let mut consensus = Replica::new(member(node), disk, saved.clone(), 0, TIMING, NOW);
         consensus.fault = self.fault;
         let applied = saved.snapshot.index;
         Node { disk, saved, write: None, consensus, wake: NOW, applied }
--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Fault;
 use crate::{
-    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Ratchet, Role, Saved, Timing, Write,
+    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Replica, Role, Saved, Timing, Write,
     decode, encode,
 };
 use fastrand::Rng;
@@ -59,7 +59,7 @@
     life: u64,
     disk: Disk,
     saved: Saved,
-    consensus: Option<Ratchet>,
+    consensus: Option<Replica>,
     write: Option<(Write, bool)>,
     hung: bool,
     sync: (Micros, Micros),
@@ -281,7 +281,7 @@
         n.wake = Micros::MAX;
         n.applied = n.saved.snapshot.index;
         n.state = unpack(&n.saved.snapshot.data, self.pad);
-        let mut consensus = Ratchet::new(member(node), n.disk, n.saved.clone(), seed, self.timing, now);
+        let mut consensus = Replica::new(member(node), n.disk, n.saved.clone(), seed, self.timing, now);
         consensus.fault = self.fault;
         n.consensus = Some(consensus);
         let seeds = self.seeds.clone().unwrap_or_else(|| (0..self.founders).collect());
@@ -318,7 +318,7 @@
         // One that has never been of the group may come at any time; one that a roster names counts
         // as down until it stands and has that on disk.
         let named = |at: usize, disk: Disk| {
-            let rosters = self.nodes.iter().filter_map(|n| n.consensus.as_ref()).map(Ratchet::roster);
+            let rosters = self.nodes.iter().filter_map(|n| n.consensus.as_ref()).map(Replica::roster);
             rosters.filter(|r| r.names(member(at), disk)).count() > 0
         };
         let well = |(at, n): (usize, &Node)| {
@@ -495,7 +495,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.consensus.as_ref().filter(|r| r.role() == Role::Leader).map(Ratchet::term);
+        let leads = |n: &Node| n.consensus.as_ref().filter(|r| r.role() == Role::Leader).map(Replica::term);
         (0..self.nodes.len())
             .filter(|n| leads(&self.nodes[*n]).is_some())
             .max_by_key(|n| leads(&self.nodes[*n]))
--- a/crates/consensus/src/sim/catching_up.rs
+++ b/crates/consensus/src/sim/catching_up.rs
@@ -3,7 +3,7 @@
 
 use crate::core::Fault;
 use crate::{
-    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Ratchet, Role, Roster, Saved, Timing,
+    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Replica, Role, Roster, Saved, Timing,
     Write, encode,
 };
 use std::cmp::Reverse;
@@ -27,7 +27,7 @@
     life: u64,
     disk: Disk,
     saved: Saved,
-    consensus: Option<Ratchet>,
+    consensus: Option<Replica>,
     write: Option<Write>,
     wake: Micros,
     applied: u64,
@@ -150,7 +150,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.consensus.as_ref().filter(|r| r.role() == Role::Leader).map(Ratchet::term);
+        let leads = |n: &Node| n.consensus.as_ref().filter(|r| r.role() == Role::Leader).map(Replica::term);
         let all = (0..self.nodes.len()).filter(|n| leads(&self.nodes[*n]).is_some());
         all.max_by_key(|n| leads(&self.nodes[*n]))
     }
@@ -208,7 +208,7 @@
                 let timing = Timing { tail: self.terms.tail, part: 64 << 10, ..Timing::default() };
                 let seed = node as u64 + 7 * n.life;
                 let mut consensus =
-                    Ratchet::new(member(node), n.disk, n.saved.clone(), seed, timing, self.now);
+                    Replica::new(member(node), n.disk, n.saved.clone(), seed, timing, self.now);
                 consensus.fault = self.fault;
                 n.consensus = Some(consensus);
                 let seeds = (0..self.nodes.len()).map(member).collect();
--- a/crates/consensus/src/sim/members.rs
+++ b/crates/consensus/src/sim/members.rs
@@ -3,7 +3,7 @@
 
 use super::{Event, MS, Node, Sim, quiet_group};
 use crate::core::Fault;
-use crate::{Micros, Ratchet, Role, Saved};
+use crate::{Micros, Replica, Role, Saved};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// A newcomer, or one that is back with an empty disk, counts as lost for so long.
@@ -54,7 +54,7 @@
         if n.life != life {
             return;
         }
-        if self.now < until && n.consensus.as_ref().is_some_and(Ratchet::is_being_replaced) {
+        if self.now < until && n.consensus.as_ref().is_some_and(Replica::is_being_replaced) {
             self.at(self.now + LINGER, Event::Stopping { node, life, until });
         } else {
             self.end(node);
@@ -64,7 +64,7 @@
     /// The leader, or any that votes.
     fn voter(&mut self) -> usize {
         let leader = self.leader();
-        let votes = |n: &usize| self.nodes[*n].consensus.as_ref().is_some_and(Ratchet::standing);
+        let votes = |n: &usize| self.nodes[*n].consensus.as_ref().is_some_and(Replica::standing);
         let voters: Vec<usize> = self.live().into_iter().filter(votes).collect();
         match leader {
             Some(leader) if self.rng.bool() => leader,
@@ -269,7 +269,7 @@
                 let gone = sim.live()[0];
                 let (newcomer, start) = sim.replace(gone, turn % 2 == 0);
                 sim.run(start + SYNC);
-                let named = |n: usize| sim.nodes[n].consensus.as_ref().is_some_and(Ratchet::standing);
+                let named = |n: usize| sim.nodes[n].consensus.as_ref().is_some_and(Replica::standing);
                 if !named(newcomer) || !sim.whole() || sim.live().len() != members {
                     return Err(format!("turn {turn}: {newcomer} is not a member for {gone}"));
                 }
