--- a/crates/config-store/src/chest.rs
+++ b/crates/config-store/src/chest.rs
@@ -4,7 +4,7 @@
 use cluster::state::{Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, StorePeer, ToStore, Unsure};
 use cluster::{Micros, Rev};
-use consensus::{Disk, Message, NotLeader, Payload, Replica, Role, Saved, Timing, Write};
+use consensus::{Disk, Message, NotLeader, Payload, PersistentState, Replica, Role, Timing, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -150,7 +150,7 @@
     pub fn new(
         me: Ipv4Addr,
         disk: Disk,
-        saved: Saved,
+        saved: PersistentState,
         seeds: Vec<Ipv4Addr>,
         life: u64,
         now: Micros,
@@ -198,7 +198,7 @@
 
     /// The other stores that it speaks with.
     pub fn fellows(&self) -> BTreeSet<Ipv4Addr> {
-        let members = self.consensus.roster().members.keys().copied();
+        let members = self.consensus.membership().members.keys().copied();
         members.chain(self.seeds.iter().copied()).filter(|ip| *ip != self.me).collect()
     }
 
@@ -226,11 +226,11 @@
             Input::WriteFailed => self.agree(consensus::Input::WriteFailed, out),
             Input::Stop => {
                 self.stops.get_or_insert((self.now, self.now + HAND_OVER_US));
-                self.agree(consensus::Input::Yield, out);
+                self.agree(consensus::Input::PrepareToStop, out);
             }
             Input::Settings { size, seeds } => {
                 if let Some(size) = size {
-                    self.agree(consensus::Input::Size(size), out);
+                    self.agree(consensus::Input::TargetSize(size), out);
                 }
                 self.seeds = seeds.clone();
                 self.agree(consensus::Input::Seeds(seeds), out);
@@ -266,7 +266,7 @@
         if self.now >= self.ask_at {
             self.ask_at = self.now + ASK_US;
             // Spares ask, too: what was agreed and is here makes a copy fresh, whoever counts.
-            if self.consensus.standing() || self.consensus.leader().is_some() {
+            if self.consensus.is_voter() || self.consensus.leader().is_some() {
                 self.read(Caller::Own { asked: self.now }, true, out);
             }
         }
@@ -426,7 +426,7 @@
             let links: Vec<u64> = self.followers.keys().copied().collect();
             links.into_iter().for_each(|link| self.feed(link, out));
         }
-        let large = self.since_bytes >= SNAPSHOT_STATES * consensus::enough(self.snapshot_bytes);
+        let large = self.since_bytes >= SNAPSHOT_STATES * consensus::snapshot_threshold(self.snapshot_bytes);
         if here >= self.snapshot_at + SNAPSHOT_EVERY || here > self.snapshot_at && large {
             let data = self.copy.state.write(self.now);
             (self.snapshot_at, self.snapshot_bytes, self.since_bytes) = (here, data.len(), 0);
@@ -451,7 +451,7 @@
                     postcard::from_bytes::<Command>(&data)
                         .map_err(|e| format!("entry {} is no command of this program: {e}", entry.index))?,
                 ),
-                Payload::Nothing | Payload::Roster(_) | Payload::Joint { .. } => None,
+                Payload::Noop | Payload::Membership(_) | Payload::Joint { .. } => None,
             };
             let result = self.copy.apply(self.now, entry.index, command);
             self.results.push_back((entry.index, result));
@@ -505,7 +505,7 @@
 
     fn stand(&mut self, out: &mut Vec<Output>) {
         self.catch_up();
-        let core: Vec<Ipv4Addr> = self.consensus.roster().members.keys().copied().collect();
+        let core: Vec<Ipv4Addr> = self.consensus.membership().members.keys().copied().collect();
         let stands = (core, self.fresh(), self.leads(), self.consensus.term());
         if self.now < self.standing_at && self.stood.as_ref() == Some(&stands) {
             return;
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -3,7 +3,7 @@
 use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
 use config_store::chest::{Chest, Input, Output, Peer, Standing};
 use consensus::disk::Store;
-use consensus::{Saved, Write};
+use consensus::{PersistentState, Write};
 use miette::{Result, miette};
 use net::Micros;
 use runtime::link::{Event, Line, SILENCE, Tie};
@@ -49,8 +49,8 @@
     let founds = start.settings.initial_start && seeds.contains(&me);
     let (life, founders) = (start.life, seeds.clone());
     let fresh = move || match founds {
-        true => (0, Saved::founding(founders.clone())),
-        false => (life, Saved::blank()),
+        true => (0, PersistentState::founding(founders.clone())),
+        false => (life, PersistentState::empty()),
     };
     let (store, saved) = Store::open(&dir, me, fresh).map_err(|e| miette!("{e}"))?;
     let now = stage.clock.now();
@@ -103,7 +103,7 @@
                     Some(open) => open.write(&write),
                     None => Err(consensus::disk::DiskError {
                         file: dir.clone(),
-                        what: "cannot be opened again".into(),
+                        message: "cannot be opened again".into(),
                         full: false,
                     }),
                 };
@@ -113,7 +113,7 @@
                 std::thread::sleep(REFUSED);
                 drop(store.take());
                 // It was made long ago: there is nothing to begin with.
-                store = Store::open(&dir, me, || (0, Saved::blank())).ok().map(|(open, _)| open);
+                store = Store::open(&dir, me, || (0, PersistentState::empty())).ok().map(|(open, _)| open);
             }
             inbox.post(Told::Written(write.number));
         }
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -5,8 +5,8 @@
 use cluster::drill::DrillChange;
 use cluster::rollout::RolloutChange;
 use cluster::state::{Command, NodeChange, ServerChange, State};
-use consensus::disk::{self, DiskError, Look, Store};
-use consensus::{Disk, Entry, Member, Payload, Roster, Saved};
+use consensus::disk::{self, DiskError, Store, StoreContents};
+use consensus::{Disk, Entry, Member, Membership, Payload, PersistentState};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 use std::fs::File;
@@ -23,7 +23,7 @@
 struct Backup {
     member: Member,
     disk: Disk,
-    saved: Saved,
+    saved: PersistentState,
 }
 
 /// Why something was not done.
@@ -37,9 +37,9 @@
 
 /// What a store holds and whether it can be relied on. Err: what is wrong.
 pub fn check(dir: &Path) -> Result<String, Refused> {
-    let look = disk::look(dir).map_err(refused)?;
+    let look = disk::inspect(dir).map_err(refused)?;
     let mut wrong = Vec::new();
-    if !look.whole {
+    if !look.checksums_valid {
         wrong.push("pages of the file have another check sum than they were written with".to_string());
     }
     wrong.extend(faults(&look.saved));
@@ -57,7 +57,7 @@
 }
 
 /// What a log that a member wrote cannot be.
-fn faults(saved: &Saved) -> Vec<String> {
+fn faults(saved: &PersistentState) -> Vec<String> {
     let mut wrong = Vec::new();
     let (hard, snapshot) = (&saved.hard, &saved.snapshot);
     let mut before = saved.base.1;
@@ -70,17 +70,17 @@
     if before > hard.term {
         wrong.push(format!("the log reaches term {before}, the votes only {}", hard.term));
     }
-    if hard.commit > saved.last() {
-        wrong.push(format!("entry {} is said to count, the log ends at {}", hard.commit, saved.last()));
+    if hard.commit > saved.last_index() {
+        wrong.push(format!("entry {} is said to count, the log ends at {}", hard.commit, saved.last_index()));
     }
-    if hard.standing && snapshot.roster.members.is_empty() && saved.roster().members.is_empty() {
+    if hard.voter && snapshot.membership.members.is_empty() && saved.membership().members.is_empty() {
         wrong.push("it votes, and knows no group".into());
     }
     wrong
 }
 
 /// The state after the last entry, counted or not.
-fn state_of(saved: &Saved) -> Result<State, Refused> {
+fn state_of(saved: &PersistentState) -> Result<State, Refused> {
     let mut state = match saved.snapshot.data.is_empty() {
         true => State::default(),
         false => State::read(0, &saved.snapshot.data)?,
@@ -97,11 +97,11 @@
     Ok(state)
 }
 
-fn told(look: &Look, state: Option<&State>) -> String {
-    let Look { file, bytes, member, disk, saved, .. } = look;
+fn told(look: &StoreContents, state: Option<&State>) -> String {
+    let StoreContents { file, bytes, member, disk, saved, .. } = look;
     let (hard, snapshot) = (&saved.hard, &saved.snapshot);
     let vote = hard.vote.map_or("nobody".into(), |v| v.to_string());
-    let stands = if hard.standing { "votes and counts" } else { "does not vote until it is let in" };
+    let stands = if hard.voter { "votes and counts" } else { "does not vote until it is let in" };
     let first = saved.base.0 + 1;
     // It stands first in every state.
     let form = postcard::from_bytes::<u32>(&snapshot.data).map_or("-".into(), |f| f.to_string());
@@ -109,7 +109,7 @@
         true => format!("empty after {}", saved.base.0),
         false => {
             let term = saved.entries.last().map_or(saved.base.1, |e| e.term);
-            format!("entries {first} to {}, the last of term {term}", saved.last())
+            format!("entries {first} to {}, the last of term {term}", saved.last_index())
         }
     };
     let mut out = String::new();
@@ -120,7 +120,7 @@
         ("term", format!("{}, vote for {vote}", hard.term)),
         ("log", format!("{log}; known to count up to {}", hard.commit)),
         ("snapshot", format!("at {}, {} bytes", snapshot.index, snapshot.data.len())),
-        ("core", core(saved.roster())),
+        ("core", core(saved.membership())),
     ] {
         let _ = writeln!(out, "{name:<14} {text}");
     }
@@ -138,14 +138,14 @@
     out
 }
 
-fn core(roster: &Roster) -> String {
-    let members: Vec<String> = roster.members.iter().map(|(m, d)| format!("{m} (disk {d})")).collect();
+fn core(membership: &Membership) -> String {
+    let members: Vec<String> = membership.members.iter().map(|(m, d)| format!("{m} (disk {d})")).collect();
     if members.is_empty() { "unknown".into() } else { members.join(", ") }
 }
 
 /// All of a store as text, without the bodies of configurations: they hold the keys of tenants.
 pub fn dump(dir: &Path) -> Result<String, Refused> {
-    let look = disk::look(dir).map_err(refused)?;
+    let look = disk::inspect(dir).map_err(refused)?;
     let state = state_of(&look.saved);
     let mut out = told(&look, state.as_ref().ok());
     if let Err(why) = &state {
@@ -170,8 +170,8 @@
 
 fn words(entry: &Entry) -> String {
     let command = match &entry.payload {
-        Payload::Nothing => return "a leader begins".into(),
-        Payload::Roster(new) => return format!("core: {}", core(new)),
+        Payload::Noop => return "a leader begins".into(),
+        Payload::Membership(new) => return format!("core: {}", core(new)),
         Payload::Joint { old, new } => return format!("core: {}; before: {}", core(new), core(old)),
         Payload::Data(data) => postcard::from_bytes::<Command>(data),
     };
@@ -238,11 +238,11 @@
 /// Writes all of a store to the file `to`, which must not be there yet.
 pub fn backup(dir: &Path, to: &Path) -> Result<String, Refused> {
     check(dir)?;
-    let Look { member, disk, saved, .. } = disk::look(dir).map_err(refused)?;
-    let (last, commit) = (saved.last(), saved.hard.commit);
+    let StoreContents { member, disk, saved, .. } = disk::inspect(dir).map_err(refused)?;
+    let (last, commit) = (saved.last_index(), saved.hard.commit);
     let mut bytes = MAGIC.to_vec();
     bytes.extend(FORMAT.to_le_bytes());
-    bytes.extend(disk::sealed(&Backup { member, disk, saved }));
+    bytes.extend(disk::encode_checksummed(&Backup { member, disk, saved }));
     let failed = |e: std::io::Error| format!("{}: {e}", to.display());
     // Under another name until it is whole.
     let mut part = to.as_os_str().to_owned();
@@ -269,7 +269,7 @@
     let rest = bytes.strip_prefix(MAGIC).ok_or_else(|| bad("is no backup of a store".into()))?;
     let (form, rest) = rest.split_first_chunk::<4>().ok_or_else(|| bad("is cut short".into()))?;
     match u32::from_le_bytes(*form) {
-        FORMAT => disk::unsealed(rest).map_err(bad),
+        FORMAT => disk::decode_checksummed(rest).map_err(bad),
         form => Err(bad(format!("has form {form}, this program reads form {FORMAT}"))),
     }
 }
@@ -286,7 +286,7 @@
     let backup = read_backup(from)?;
     state_of(&backup.saved)?;
     let member = member.unwrap_or(backup.member);
-    let (last, commit) = (backup.saved.last(), backup.saved.hard.commit);
+    let (last, commit) = (backup.saved.last_index(), backup.saved.hard.commit);
     let mut out = String::new();
     if dir.read_dir().is_ok_and(|mut d| d.next().is_some()) {
         if !over {
@@ -294,26 +294,26 @@
             return Err(format!("{}: is not empty; {hint}", dir.display()));
         }
         if disk::exists(dir) {
-            let held = disk::look(dir);
+            let held = disk::inspect(dir);
             let _ = match &held {
                 Ok(l) => writeln!(
                     out,
                     "set aside: disk {} of {}, entries up to {}, known to count up to {}; the backup has {last}",
                     l.disk,
                     l.member,
-                    l.saved.last(),
+                    l.saved.last_index(),
                     l.saved.hard.commit
                 ),
                 Err(e) => writeln!(out, "set aside, though it cannot be read: {e}"),
             };
-            if held.is_err_and(|e| e.what.contains("in use")) {
+            if held.is_err_and(|e| e.message.contains("in use")) {
                 return Err(format!("{}: is in use by another process", dir.display()));
             }
             let aside = disk::set_aside(dir).map_err(refused)?;
             let _ = writeln!(out, "it is kept as {}", aside.display());
         }
     }
-    let saved = backup.saved.stranger();
+    let saved = backup.saved.into_non_voter();
     Store::open(dir, member, || (number, saved)).map_err(refused)?;
     let _ = writeln!(
         out,
@@ -330,11 +330,11 @@
 /// Founds the core anew from the store in `dir`, alone. Without `yes` nothing is done; the text says what it would mean.
 pub fn refound(dir: &Path, number: Disk, yes: bool) -> Result<String, Refused> {
     check(dir)?;
-    let look = disk::look(dir).map_err(refused)?;
+    let look = disk::inspect(dir).map_err(refused)?;
     let state = state_of(&look.saved)?;
-    let (last, commit, me) = (look.saved.last(), look.saved.hard.commit, look.member);
+    let (last, commit, me) = (look.saved.last_index(), look.saved.hard.commit, look.member);
     let others: Vec<String> =
-        look.saved.roster().members.keys().filter(|m| **m != me).map(Member::to_string).collect();
+        look.saved.membership().members.keys().filter(|m| **m != me).map(Member::to_string).collect();
     let mut out = told(&look, Some(&state));
     let _ = write!(
         out,
@@ -356,11 +356,11 @@
     }
     let mut anew = state;
     let data = {
-        let probe = look.saved.refounded(me, number, Vec::new());
+        let probe = look.saved.recovered(me, number, Vec::new());
         anew.rev = probe.snapshot.index;
         anew.write(0)
     };
-    let saved = look.saved.refounded(me, number, data);
+    let saved = look.saved.recovered(me, number, data);
     let aside = disk::set_aside(dir).map_err(refused)?;
     let at = saved.snapshot.index;
     Store::open(dir, me, || (number, saved)).map_err(refused)?;
--- a/crates/config-store/tests/catching_up.rs
+++ b/crates/config-store/tests/catching_up.rs
@@ -2,7 +2,7 @@
 
 use cluster::state::{Command, State};
 use config_store::chest::{Chest, Input, Output, Peer};
-use consensus::{Entry, Message, Payload, Roster, Saved};
+use consensus::{Entry, Membership, Message, Payload, PersistentState};
 use std::net::Ipv4Addr;
 
 const LEADER: Ipv4Addr = ip(1);
@@ -14,7 +14,7 @@
 
 struct Store {
     chest: Chest,
-    saved: Saved,
+    saved: PersistentState,
     now: u64,
     sent: Vec<Message>,
     /// Its questions of how far the log is agreed.
@@ -23,7 +23,7 @@
 
 impl Store {
     fn new() -> Store {
-        let saved = Saved::founding([ip(1), ip(2), ip(3)]);
+        let saved = PersistentState::founding([ip(1), ip(2), ip(3)]);
         let chest = Chest::new(ME, 0, saved.clone(), vec![LEADER], 1, 0).expect("readable");
         Store { chest, saved, now: 0, sent: Vec::new(), reads: Vec::new() }
     }
@@ -60,7 +60,7 @@
             .map(|(n, payload)| Entry { term: 5, index: at(n), payload })
             .collect();
         let prev_term = if prev == 0 { 0 } else { 5 };
-        self.hear(Message::Append { term: 5, round: 1, prev, prev_term, commit, entries });
+        self.hear(Message::AppendEntries { term: 5, round: 1, prev_index: prev, prev_term, commit, entries });
         // A leader answers once an entry of its own term counts.
         if commit > 0 {
             for ticket in std::mem::take(&mut self.reads) {
@@ -70,14 +70,14 @@
     }
 
     fn part(&mut self, index: u64, data: &[u8], offset: usize, end: usize) {
-        let roster = Roster { members: (1..4).map(|n| (ip(n), 0)).collect() };
-        self.hear(Message::Part {
+        let membership = Membership { members: (1..4).map(|n| (ip(n), 0)).collect() };
+        self.hear(Message::SnapshotChunk {
             term: 5,
             round: 1,
             index,
             index_term: 5,
-            roster,
-            roster_index: 0,
+            membership,
+            membership_index: 0,
             total: data.len() as u64,
             offset: offset as u64,
             bytes: data[offset..end].to_vec(),
@@ -128,7 +128,7 @@
     store.part(300, &new, 200, new.len());
     assert_eq!((store.chest.copy.rev(), store.chest.copy.state.evacuated.len()), (300, 90));
     let got = |m: &Message| match m {
-        Message::Got { index, offset, .. } => Some((*index, *offset)),
+        Message::SnapshotChunkResponse { index, offset, .. } => Some((*index, *offset)),
         _ => None,
     };
     let told: Vec<(u64, u64)> = store.sent.iter().filter_map(got).collect();
@@ -139,7 +139,7 @@
 #[test]
 fn a_leader_that_does_not_know_yet_what_counts_makes_nobody_fresh() {
     let mut store = Store::new();
-    store.append(0, 0, vec![Payload::Nothing]);
+    store.append(0, 0, vec![Payload::Noop]);
     assert!(!store.chest.fresh(), "nothing of its own term counts yet");
     store.append(1, 1, vec![evacuate("a")]);
     assert!(store.chest.fresh());
@@ -148,7 +148,7 @@
 #[test]
 fn a_state_of_a_later_program_is_refused_and_the_disk_stays_as_it_was() {
     let mut store = Store::new();
-    store.append(0, 2, vec![Payload::Nothing, evacuate("a")]);
+    store.append(0, 2, vec![Payload::Noop, evacuate("a")]);
     assert!(store.chest.fresh());
     let mut data = evacuated(300, 9);
     data[0] = 77;
@@ -168,7 +168,7 @@
 #[test]
 fn a_command_of_a_later_program_is_refused_and_nothing_after_it_is_applied() {
     let mut store = Store::new();
-    store.append(0, 2, vec![Payload::Nothing, evacuate("a")]);
+    store.append(0, 2, vec![Payload::Noop, evacuate("a")]);
     let unknown = Payload::Data(vec![200, 1, 2, 3]);
     store.append(2, 5, vec![evacuate("b"), unknown, evacuate("c")]);
     let why = store.chest.unreadable().expect("refused");
@@ -182,7 +182,7 @@
 #[test]
 fn a_log_of_large_changes_is_cut_by_its_bytes() {
     let mut store = Store::new();
-    store.append(0, 1, vec![Payload::Nothing]);
+    store.append(0, 1, vec![Payload::Noop]);
     for n in 1..120 {
         // Refused by every copy alike, as it builds on no version; the log holds it all the same.
         let change = cluster::state::Change { base: 9, patch: false, body: vec![b' '; 60_000] };
--- a/crates/config-store/tests/chest.rs
+++ b/crates/config-store/tests/chest.rs
@@ -4,7 +4,7 @@
 use cluster::state::{Change, Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, ToStore, Unsure};
 use config_store::chest::{Chest, Input, Output, Peer};
-use consensus::Saved;
+use consensus::PersistentState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -18,7 +18,7 @@
 
 struct Machine {
     chest: Chest,
-    saved: Saved,
+    saved: PersistentState,
     /// What the registry on this machine makes of the store's news, and what else it was last told.
     copy: Copy,
     standing: Option<(bool, bool)>,
@@ -37,7 +37,7 @@
 }
 
 /// `life`: how often it was started before.
-fn chest(me: Ipv4Addr, saved: Saved, life: u64, now: u64) -> Chest {
+fn chest(me: Ipv4Addr, saved: PersistentState, life: u64, now: u64) -> Chest {
     let seed = u64::from(me.octets()[3]) + (life << 8);
     Chest::new(me, 0, saved, vec![ip(1), ip(2), ip(3)], seed, now).expect("readable")
 }
@@ -61,14 +61,14 @@
         let (machines, on_the_way, cut) = (BTreeMap::new(), VecDeque::new(), BTreeSet::new());
         let mut site = Site { now, machines, on_the_way, cut, tickets, starts: BTreeMap::new() };
         for me in [ip(1), ip(2), ip(3)] {
-            site.start(me, Saved::founding([ip(1), ip(2), ip(3)]));
+            site.start(me, PersistentState::founding([ip(1), ip(2), ip(3)]));
         }
         site.pass(3 * SECOND);
         assert!(site.machines.values().all(|m| m.standing.is_some_and(|s| s.0)), "all are fresh");
         site
     }
 
-    fn start(&mut self, me: Ipv4Addr, saved: Saved) {
+    fn start(&mut self, me: Ipv4Addr, saved: PersistentState) {
         let life = self.starts.entry(me).and_modify(|n| *n += 1).or_insert(0);
         let chest = chest(me, saved.clone(), *life, self.now);
         let (results, reads) = (BTreeMap::new(), BTreeMap::new());
@@ -267,7 +267,8 @@
         assert_eq!(State::read(site.now, &written).expect("readable").write(site.now), written);
     }
     let before: Vec<u8> = site.machines[&at].chest.copy.state.write(site.now);
-    let all: Vec<(Ipv4Addr, Saved)> = site.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
+    let all: Vec<(Ipv4Addr, PersistentState)> =
+        site.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
     site.on_the_way.clear();
     all.into_iter().for_each(|(ip, saved)| site.start(ip, saved));
     site.pass(3 * SECOND);
@@ -364,7 +365,7 @@
     for leads in [false, true] {
         let mut site = Site::new();
         let spare = ip(4);
-        site.start(spare, Saved::blank());
+        site.start(spare, PersistentState::empty());
         let seeds = vec![ip(1), ip(2), ip(3)];
         for me in [ip(1), ip(2), ip(3), spare] {
             site.tell(me, Input::Settings { size: Some(3), seeds: seeds.clone() });
--- a/crates/config-store/tests/forms.rs
+++ b/crates/config-store/tests/forms.rs
@@ -10,8 +10,10 @@
 use cluster::talk::StorePeer;
 use config_store::chest::Chest;
 use config_store::store;
-use consensus::disk::{Store, sealed, unsealed};
-use consensus::{Entry, Hard, Member, Message, Payload, Roster, Saved, Snapshot, decode, encode};
+use consensus::disk::{Store, decode_checksummed, encode_checksummed};
+use consensus::{
+    Entry, HardState, Member, Membership, Message, Payload, PersistentState, Snapshot, decode, encode,
+};
 use redb::{Database, ReadableTable, TableDefinition};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -95,8 +97,8 @@
     ]
 }
 
-fn roster() -> Roster {
-    Roster { members: [(ip(1), DISK), (ip(2), 0), (ip(3), 0)].into() }
+fn membership() -> Membership {
+    Membership { members: [(ip(1), DISK), (ip(2), 0), (ip(3), 0)].into() }
 }
 
 /// The state after so many commands.
@@ -109,48 +111,61 @@
 }
 
 /// A snapshot after `count` commands, then the others as entries, a roster and a leader's first entry.
-fn saved(count: usize) -> Saved {
+fn saved(count: usize) -> PersistentState {
     let entry = |index: u64, payload| Entry { term: 2 + index / 6, index, payload };
     let (all, last) = (commands(), commands().len() as u64);
     let data = |c: &Command| Payload::Data(postcard::to_stdvec(c).expect("plain data"));
     let mut entries: Vec<Entry> = all.iter().enumerate().map(|(n, c)| entry(n as u64 + 1, data(c))).collect();
-    entries.push(entry(last + 1, Payload::Nothing));
-    entries.push(entry(last + 2, Payload::Roster(roster())));
+    entries.push(entry(last + 1, Payload::Noop));
+    entries.push(entry(last + 2, Payload::Membership(membership())));
     let base = count as u64 - 1;
     let entries = entries.split_off(base as usize);
     let snapshot = Snapshot {
         index: count as u64,
         term: 2,
-        roster: Roster { members: (1..4).map(|n| (ip(n), 0)).collect() },
-        roster_index: 0,
+        membership: Membership { members: (1..4).map(|n| (ip(n), 0)).collect() },
+        membership_index: 0,
         data: state(count).write(0),
     };
-    let hard = Hard { term: 4, vote: Some(ip(2)), commit: last + 2, standing: true };
-    Saved { hard, snapshot: Arc::new(snapshot), base: (base, 2), entries }
+    let hard = HardState { term: 4, vote: Some(ip(2)), commit: last + 2, voter: true };
+    PersistentState { hard, snapshot: Arc::new(snapshot), base: (base, 2), entries }
 }
 
 fn messages() -> Vec<Message> {
     let entries = saved(3).entries;
     vec![
-        Message::Hello,
-        Message::Leads(Some(ip(2))),
-        Message::Ask { pre: true, urged: false, term: 7, last: 300, last_term: 6 },
-        Message::Vote { pre: false, term: 7, granted: true, commit: 299 },
-        Message::Append { term: 7, round: 900, prev: 300, prev_term: 6, commit: 299, entries },
-        Message::Ack { term: 7, round: 900, fits: true, matched: 301, commit: 300, standing: true },
-        Message::Part {
+        Message::JoinRequest,
+        Message::LeaderHint(Some(ip(2))),
+        Message::RequestVote {
+            pre_vote: true,
+            leadership_transfer: false,
+            term: 7,
+            last_index: 300,
+            last_term: 6,
+        },
+        Message::VoteResponse { pre_vote: false, term: 7, granted: true, commit: 299 },
+        Message::AppendEntries { term: 7, round: 900, prev_index: 300, prev_term: 6, commit: 299, entries },
+        Message::AppendResponse {
+            term: 7,
+            round: 900,
+            success: true,
+            match_index: 301,
+            commit: 300,
+            voter: true,
+        },
+        Message::SnapshotChunk {
             term: 7,
             round: 901,
             index: 256,
             index_term: 6,
-            roster: roster(),
-            roster_index: 12,
+            membership: membership(),
+            membership_index: 12,
             total: 70_000,
             offset: 65_536,
             bytes: vec![1, 2, 3],
         },
-        Message::Got { term: 7, round: 901, index: 256, offset: 65_539 },
-        Message::Take { term: 7 },
+        Message::SnapshotChunkResponse { term: 7, round: 901, index: 256, offset: 65_539 },
+        Message::TimeoutNow { term: 7 },
     ]
 }
 
@@ -284,7 +299,7 @@
 #[test]
 fn a_newer_form_is_refused_by_its_number_and_kept_as_it_is() {
     let mut stored = read("first");
-    stored.insert("meta:owner".into(), sealed(&Newer { format: 77, what: "of a later program" }));
+    stored.insert("meta:owner".into(), encode_checksummed(&Newer { format: 77, what: "of a later program" }));
     let folder = Folder::new("newer");
     lay(&folder, &stored);
     let error = Store::open(&folder.0, ME, || panic!("it is there")).err().expect("refused").to_string();
@@ -295,5 +310,5 @@
     // A row that was changed is told from one of another form.
     let mut bytes = read("first")["meta:hard"].clone();
     *bytes.last_mut().expect("some") ^= 1;
-    assert!(unsealed::<Hard>(&bytes).is_err_and(|e| e.contains("check sum")));
+    assert!(decode_checksummed::<HardState>(&bytes).is_err_and(|e| e.contains("check sum")));
 }
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -5,7 +5,7 @@
 use config_store::chest::{Chest, Input, Output};
 use config_store::store;
 use consensus::disk::{self, Store};
-use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
+use consensus::{Disk, Entry, HardState, Payload, PersistentState, Write};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -42,15 +42,16 @@
 }
 
 /// A store of `who` with an evacuation in each entry of term 1; the first `commit` of them count.
-fn filled(dir: &Path, who: u8, zones: &[&str], commit: u64) -> Saved {
+fn filled(dir: &Path, who: u8, zones: &[&str], commit: u64) -> PersistentState {
     let founders = [ip(1), ip(2), ip(3)];
-    let (store, mut saved) = Store::open(dir, ip(who), || (0, Saved::founding(founders))).expect("made");
+    let (store, mut saved) =
+        Store::open(dir, ip(who), || (0, PersistentState::founding(founders))).expect("made");
     let data = |zone: &str| Payload::Data(postcard::to_stdvec(&evacuate(zone)).expect("plain"));
     let entries = zones.iter().enumerate();
     let write = Write {
         number: 1,
-        hard: Hard { term: 1, vote: Some(ip(1)), commit, standing: true },
-        from: Some(1),
+        hard: HardState { term: 1, vote: Some(ip(1)), commit, voter: true },
+        truncate_from: Some(1),
         entries: entries.map(|(n, z)| Entry { term: 1, index: n as u64 + 1, payload: data(z) }).collect(),
         ..Write::default()
     };
@@ -114,16 +115,16 @@
     let to = folder.at("b");
     let said = store::restore(&file, &to, None, 77, false).expect("restored");
     assert!(said.contains("disk 77 of 10.8.0.1") && said.contains("stranger"), "{said}");
-    let look = disk::look(&to).expect("there");
+    let look = disk::inspect(&to).expect("there");
     assert_eq!((look.disk, look.member), (77, ip(1)));
-    assert_eq!(look.saved, saved.stranger());
-    assert!(!look.saved.hard.standing && look.saved.hard.vote.is_none());
+    assert_eq!(look.saved, saved.into_non_voter());
+    assert!(!look.saved.hard.voter && look.saved.hard.vote.is_none());
     let before = bytes(&to);
     let error = store::restore(&file, &to, None, 78, false).expect_err("not empty");
     assert!(error.contains("is not empty") && bytes(&to) == before, "{error}");
     let said = store::restore(&file, &to, Some(ip(2)), 78, true).expect("asked for");
     assert!(said.contains("set aside: disk 77"), "{said}");
-    assert_eq!(disk::look(&to).expect("there").member, ip(2));
+    assert_eq!(disk::inspect(&to).expect("there").member, ip(2));
     assert_eq!(std::fs::read(to.join("ratchet.redb.aside-1")).expect("kept"), before);
 
     // Of a later program, changed by a byte, cut short.
@@ -147,13 +148,13 @@
 /// Machines with stores on disks of the test's own, whose messages all arrive.
 struct Site {
     now: u64,
-    machines: BTreeMap<Ipv4Addr, (Chest, Saved)>,
+    machines: BTreeMap<Ipv4Addr, (Chest, PersistentState)>,
     on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::chest::Peer)>,
     acked: usize,
 }
 
 impl Site {
-    fn start(&mut self, who: Ipv4Addr, disk: Disk, saved: Saved) {
+    fn start(&mut self, who: Ipv4Addr, disk: Disk, saved: PersistentState) {
         let seeds = vec![ip(1), ip(2), ip(3)];
         let chest = Chest::new(who, disk, saved.clone(), seeds, disk + u64::from(who.octets()[3]), self.now)
             .expect("readable");
@@ -214,15 +215,15 @@
     assert_eq!(bytes(&dir), before, "only shown");
     store::refound(&dir, 500, true).expect("done");
     assert_eq!(bytes_of(&dir, "ratchet.redb.aside-1"), before, "the old one is kept");
-    let look = disk::look(&dir).expect("there");
-    assert_eq!((look.disk, look.saved.roster().members.len()), (500, 1));
+    let look = disk::inspect(&dir).expect("there");
+    assert_eq!((look.disk, look.saved.membership().members.len()), (500, 1));
 
     let mut site = Site { now: SECOND, machines: BTreeMap::new(), on_the_way: VecDeque::new(), acked: 0 };
     site.start(ip(1), look.disk, look.saved);
     site.pass(3 * SECOND);
     assert!(site.machines[&ip(1)].0.leads(), "alone it is the majority");
     for (who, disk) in [(2, 600), (3, 700)] {
-        site.start(ip(who), disk, Saved::blank());
+        site.start(ip(who), disk, PersistentState::empty());
         site.pass(5 * SECOND);
         assert!(site.machines[&ip(who)].0.fresh(), "{who} is let in");
     }
@@ -256,7 +257,7 @@
     let folder = Folder::new("old");
     let mut site = Site { now: SECOND, machines: BTreeMap::new(), on_the_way: VecDeque::new(), acked: 0 };
     for who in [1, 2, 3] {
-        site.start(ip(who), 0, Saved::founding([ip(1), ip(2), ip(3)]));
+        site.start(ip(who), 0, PersistentState::founding([ip(1), ip(2), ip(3)]));
     }
     site.pass(3 * SECOND);
     let dir = folder.at("a");
@@ -270,7 +271,7 @@
     }
     assert_eq!(site.acked, 3);
     store::restore(&folder.at("backup"), &folder.at("b"), None, 900, false).expect("restored");
-    let look = disk::look(&folder.at("b")).expect("there");
+    let look = disk::inspect(&folder.at("b")).expect("there");
     site.start(ip(3), look.disk, look.saved);
     assert!(!site.machines[&ip(3)].0.fresh());
     site.pass(5 * SECOND);
--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -2,67 +2,69 @@
 
 use crate::log::Log;
 use crate::{
-    Disk, Entry, Hard, Input, Member, Message, Micros, NotLeader, Output, Payload, Role, Roster, Saved,
-    Snapshot, Timing,
+    Disk, Entry, HardState, Input, Member, Membership, Message, Micros, NotLeader, Output, Payload,
+    PersistentState, Role, Snapshot, Timing,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Entries sent to a member beyond what it has acknowledged.
-const WINDOW: u64 = 512;
-/// So many entries are sent without waiting for an answer to those before.
-const FULL: u64 = 32;
-/// Bytes of entries in one message, about.
+/// Entries sent to a member beyond those that it has acknowledged.
+const MAX_UNACKED_ENTRIES: u64 = 512;
+/// This many pending entries are sent without waiting for the response to the batch before.
+const FULL_BATCH_ENTRIES: u64 = 32;
+/// Approximate bytes of entries in one message.
 const BATCH_BYTES: usize = 128 << 10;
-/// Bytes of entries on their way to a member: a link that carries little is not to hold seconds of them.
-const FLIGHT_BYTES: usize = 256 << 10;
-/// Parts of a snapshot on their way.
-const PARTS: u64 = 2;
-/// A learner this close to the end of the log is named in the roster.
-const CAUGHT_UP: u64 = 16;
-/// A learner that is silent for so long is forgotten.
+/// Bytes of unacknowledged entries per member, so that a slow link doesn't queue seconds of them.
+const MAX_IN_FLIGHT_BYTES: usize = 256 << 10;
+/// Unacknowledged chunks of a snapshot per member.
+const MAX_IN_FLIGHT_CHUNKS: u64 = 2;
+/// A learner that lacks at most this many entries may become a voter.
+const CAUGHT_UP_ENTRIES: u64 = 16;
+/// A learner that is silent for this long is removed.
 const LEARNER_SILENCE: Micros = 5_000_000;
 const MAX_MEMBERS: usize = 9;
 const MAX_LEARNERS: usize = 9;
-/// A leader that is leaving waits so long for a learner that is being brought up to date.
-const HANDS_OVER: Micros = 2_000_000;
-/// A member that says that it is leaving is taken at its word for so long after it last said so.
-const LEAVING: Micros = 3_000_000;
+/// How long a leader that is leaving waits for a learner to catch up.
+const LEARNER_CATCH_UP_LIMIT: Micros = 2_000_000;
+/// How long a member counts as leaving after it last reported that.
+const LEAVING_VALIDITY: Micros = 3_000_000;
 
-/// A fault planted for tests of the tests.
+/// An injected fault, by which the tests show that their checks detect violations.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Fault {
     AckBeforeSync,
-    /// A wiped machine comes back as its old self; the simulator's part.
-    WipedVotes,
-    /// An old copy of a disk comes back as its old self; the simulator's part.
+    /// A machine with a wiped disk comes back under its old disk number. Injected by the simulator.
+    WipedDiskVotes,
+    /// An old copy of a disk comes back under its old disk number. Injected by the simulator.
     OldCopyVotes,
-    CountNewcomerEarly,
+    /// Entries are committed by the new majority alone before the membership change is committed.
+    CommitWithoutJoint,
+    /// The vote is not persisted.
     ForgetVote,
-    /// A read is answered without a round that shows that the leader still leads.
+    /// A read is answered without a heartbeat round that confirms the leader.
     ReadUnconfirmed,
-    /// A snapshot that comes late is taken over what is newer.
-    SnapshotOverTail,
+    /// A delayed snapshot replaces newer entries.
+    StaleSnapshotInstalled,
     /// A snapshot is acknowledged before it is on disk.
     AckInstallBeforeSync,
-    /// A transfer starts over with every newer snapshot.
-    TransferStartsOver,
-    /// What has come of another snapshot is kept as the beginning of this one.
-    PartOfAnother,
-    /// A member that hears of a leader by parts of a snapshot only takes what it has for all.
-    FreshByParts,
-    /// Who holds a new roster elects by it alone before it is committed.
-    SwapWithoutJoint,
-    /// A newcomer counts as holding all as soon as it is named.
-    LeaverDroppedEarly,
-    /// A roster is proposed before the one before it is committed.
-    SecondChangeEarly,
-    /// The roster before the last one elects on.
-    RemovedVotes,
-    /// A snapshot is taken without its roster.
-    RosterLost,
-    /// Nobody's place is ever taken from another address.
+    /// A snapshot transfer starts over with every newer snapshot.
+    TransferRestarts,
+    /// Chunks received of another snapshot are kept as the beginning of this one.
+    ChunksMixed,
+    /// A member that has received only snapshot chunks from the leader considers itself up to date.
+    FreshFromChunks,
+    /// A replica that has a membership change elects by the new majority alone before the change is committed.
+    ElectWithoutJoint,
+    /// A new member counts as having the whole log as soon as the membership contains it.
+    NewMemberCountsAsUpToDate,
+    /// A membership change is proposed before the previous one is committed.
+    OverlappingChanges,
+    /// The previous membership may still elect after the change is committed.
+    PreviousMembershipElects,
+    /// A snapshot is installed without its membership.
+    SnapshotMembershipLost,
+    /// No member is ever replaced by one at another address.
     NeverReplaced,
 }
 
@@ -79,199 +81,209 @@
     };
 }
 
-/// What a vote says and stands on: term, standing, vote.
-type Safe = (u64, bool, Option<Member>);
+/// The part of the hard state that votes depend on: term, voter, vote.
+type DurableVote = (u64, bool, Option<Member>);
 
-/// A snapshot on its way to a member.
+/// A snapshot transfer to a member.
 #[cfg_attr(test, derive(Clone, Hash))]
-struct Transfer {
-    /// The one that it began with, also when a newer one is made: a transfer that started over each time might never end.
+struct SnapshotTransfer {
+    /// The snapshot that the transfer began with, even when a newer one is made: a transfer that started over each time
+    /// might never end.
     snapshot: Arc<Snapshot>,
-    /// So much has come, and so much was sent; None: nothing yet, as where it has no bytes.
-    come: u64,
+    /// Bytes acknowledged and bytes sent. `sent` is None before the first chunk, as a snapshot may have no bytes.
+    received: u64,
     sent: Option<u64>,
-    /// The round of the last part: an answer to a later one shows what of the parts was lost, however slow the link is.
+    /// The round of the last chunk sent. A response to a later round shows which chunks were lost, however slow the link.
     round: u64,
 }
 
-impl Transfer {
-    fn new(snapshot: Arc<Snapshot>) -> Transfer {
-        Transfer { snapshot, come: 0, sent: None, round: 0 }
+impl SnapshotTransfer {
+    fn new(snapshot: Arc<Snapshot>) -> SnapshotTransfer {
+        SnapshotTransfer { snapshot, received: 0, sent: None, round: 0 }
     }
 
     fn total(&self) -> u64 {
         self.snapshot.data.len() as u64
     }
 
-    /// Whether the newest snapshot is to be sent instead: what comes after this one is no longer kept, or is more than
-    /// what is thrown away. Where a link carries more than there are changes, that comes to an end.
+    /// Whether to send the newest snapshot instead: entries after this one are no longer kept, or finishing this one and
+    /// sending the entries up to the newest costs more than starting over. This terminates as long as the link is faster
+    /// than the rate of changes.
     fn outdated(&self, log: &Log) -> bool {
         let (at, newest) = (self.snapshot.index, &log.snapshot);
-        let spent = newest.data.len() as u64 + self.sent.unwrap_or_default();
-        let spared = spent.saturating_sub(self.total()) as usize + 1;
-        at < log.base() || at < newest.index && log.bytes(at + 1, newest.index + 1, spared) >= spared
+        let restart_cost = newest.data.len() as u64 + self.sent.unwrap_or_default();
+        let limit = restart_cost.saturating_sub(self.total()) as usize + 1;
+        at < log.base() || at < newest.index && log.bytes(at + 1, newest.index + 1, limit) >= limit
     }
 }
 
-/// A leader's picture of one disk.
+/// The leader's view of one member and its disk.
 #[cfg_attr(test, derive(Clone, Hash))]
 struct Peer {
     disk: Disk,
-    next: u64,
-    matched: u64,
-    /// The latest round that it has answered.
+    next_index: u64,
+    match_index: u64,
+    /// The latest round that it has responded to.
     round: u64,
-    /// When it last answered.
-    heard: Option<Micros>,
-    standing: bool,
-    /// Where its log parts from the leader's is still to be found: one try at a time.
+    /// When it last responded.
+    last_heard: Option<Micros>,
+    voter: bool,
+    /// The index up to which its log matches the leader's isn't known yet: one attempt at a time.
     probing: bool,
-    /// A snapshot on its way.
-    transfer: Option<Transfer>,
-    /// A learner counts as alive with answers from this round on.
-    since: u64,
-    /// What it last said to be committed.
+    /// The snapshot being sent to it.
+    transfer: Option<SnapshotTransfer>,
+    /// Responses to rounds from this one on show that a learner is alive.
+    live_from_round: u64,
+    /// The highest commit index that it has reported.
     commit: u64,
-    /// When it last said that it is leaving.
-    leaving: Option<Micros>,
+    /// When it last reported that it is leaving.
+    leaving_reported: Option<Micros>,
 }
 
 impl Peer {
-    fn new(disk: Disk, next: u64, since: u64) -> Peer {
+    fn new(disk: Disk, next_index: u64, live_from_round: u64) -> Peer {
         Peer {
             disk,
-            next,
-            matched: 0,
+            next_index,
+            match_index: 0,
             round: 0,
-            heard: None,
-            standing: false,
+            last_heard: None,
+            voter: false,
             probing: true,
             transfer: None,
-            since,
+            live_from_round,
             commit: 0,
-            leaving: None,
+            leaving_reported: None,
         }
     }
 
-    fn leaves(&self, now: Micros) -> bool {
-        self.leaving.is_some_and(|at| now < at + LEAVING)
+    fn is_leaving(&self, now: Micros) -> bool {
+        self.leaving_reported.is_some_and(|at| now < at + LEAVING_VALIDITY)
     }
 }
 
-/// What only a leader has.
+/// The state that only a leader has.
 #[cfg_attr(test, derive(Clone, Hash))]
-struct Lead {
+struct Leadership {
     peers: BTreeMap<Member, Peer>,
     learners: BTreeMap<Member, Peer>,
-    /// Its first entry.
-    first: u64,
+    /// The index of the first entry of its term.
+    first_index: u64,
     round: u64,
-    beat: Micros,
-    since: Micros,
-    /// Proposals by entry.
-    tickets: BTreeMap<u64, u64>,
-    /// Reads, and the round that has to be confirmed for each.
+    next_heartbeat: Micros,
+    elected_at: Micros,
+    /// The ticket of each proposal, by index.
+    proposals: BTreeMap<u64, u64>,
+    /// The ticket of each read, with the round that has to be confirmed for it.
     reads: Vec<(u64, u64)>,
 }
 
-impl Lead {
-    /// The oldest snapshot that is on its way: what comes after it will be needed.
-    fn hold(&self) -> Option<u64> {
+impl Leadership {
+    /// The index of the oldest snapshot being transferred: the entries after it will be needed.
+    fn oldest_transfer(&self) -> Option<u64> {
         let all = self.peers.values().chain(self.learners.values());
         all.filter_map(|p| p.transfer.as_ref()).map(|t| t.snapshot.index).min()
     }
 }
 
+/// The consensus state machine of one member. It does no I/O and reads no clock: see [`Replica::handle`].
 #[cfg_attr(test, derive(Clone, Hash))]
 pub struct Replica {
     me: Member,
     disk: Disk,
     timing: Timing,
-    chance: u64,
+    rng_state: u64,
     seeds: Vec<Member>,
     log: Log,
-    hard: Hard,
+    hard: HardState,
     hard_dirty: bool,
-    /// What is on disk of it.
-    safe: Safe,
-    /// The write under way: number, when it began, what is in it.
-    writing: Option<(u64, Micros, Safe)>,
+    /// The part of `hard` that is on disk.
+    durable: DurableVote,
+    /// The write in progress: its number, start time and content.
+    writing: Option<(u64, Micros, DurableVote)>,
     writes: u64,
-    /// To be sent once the write of this number is on disk.
-    held: Vec<(u64, Member, Message)>,
+    /// Messages to send once the write with the given number is on disk.
+    send_after_write: Vec<(u64, Member, Message)>,
     role: Role,
     leader: Option<Member>,
-    /// When a leader was last heard.
-    heard: Option<Micros>,
-    /// When to ask for votes, or to call again.
-    due: Micros,
+    /// When it last heard from a leader.
+    last_heard: Option<Micros>,
+    /// When to campaign or, as a non-voter, to send the next join request.
+    next_attempt: Micros,
     votes: BTreeSet<(Member, Disk)>,
-    /// A leader has asked to be followed up.
-    urged: bool,
-    lead: Option<Box<Lead>>,
-    /// A follower's log agrees with the leader's up to here.
+    /// The leader has asked this replica to take over.
+    leadership_transfer: bool,
+    leadership: Option<Box<Leadership>>,
+    /// A follower's log matches the leader's up to this index.
     verified: u64,
-    told: u64,
+    /// The commit index that the leader last reported.
+    leader_commit: u64,
     round: u64,
-    /// An answer that waits for the disk: whether the log fits, and if not, where to try next.
-    owes: Option<(bool, u64)>,
-    /// How far `told` shows what was acknowledged: not while only parts of a snapshot come from a leader.
-    told_by_leader: bool,
-    /// A snapshot that is coming in, and the term of the leader that sends it: another one's may have other bytes.
-    coming: Option<(u64, Snapshot)>,
-    /// Entries up to here were handed to the host.
-    given: u64,
-    /// How many members there are to be.
-    size: usize,
-    /// When the host said that it is about to stop.
-    leaving: Option<Micros>,
+    /// An append response that waits for the disk: whether the log matches, and if not, the index to try next.
+    pending_response: Option<(bool, u64)>,
+    /// Whether this term's leader has reported its commit index. Snapshot chunks alone don't carry it.
+    leader_commit_known: bool,
+    /// The snapshot being received, with the term of its sender: another leader's snapshot may have other bytes.
+    incoming_snapshot: Option<(u64, Snapshot)>,
+    /// Entries up to this index were handed to the host.
+    delivered: u64,
+    /// The intended number of voters.
+    target_size: usize,
+    /// When the host reported that it is about to stop.
+    leaving_since: Option<Micros>,
     #[cfg(test)]
     pub(crate) fault: Option<Fault>,
 }
 
 impl Replica {
-    /// `disk`: the number of this disk; `saved`: what is on it. The host has loaded `saved.snapshot` into its
-    /// state.
-    pub fn new(me: Member, disk: Disk, saved: Saved, seed: u64, timing: Timing, now: Micros) -> Replica {
+    /// `disk` is the number of this disk, `saved` what is on it. The host has loaded `saved.snapshot` into its state.
+    pub fn new(
+        me: Member,
+        disk: Disk,
+        saved: PersistentState,
+        seed: u64,
+        timing: Timing,
+        now: Micros,
+    ) -> Replica {
         let mut hard = saved.hard.clone();
-        let given = saved.snapshot.index;
+        let delivered = saved.snapshot.index;
         let log = Log::new(saved);
-        hard.commit = hard.commit.min(log.last()).max(given);
-        let safe = (hard.term, hard.standing, hard.vote);
+        hard.commit = hard.commit.min(log.last_index()).max(delivered);
+        let durable = (hard.term, hard.voter, hard.vote);
         let mut consensus = Replica {
             me,
             disk,
             timing,
-            chance: seed ^ 0x9e37_79b9_7f4a_7c15,
+            rng_state: seed ^ 0x9e37_79b9_7f4a_7c15,
             seeds: Vec::new(),
             log,
             hard,
             hard_dirty: false,
-            safe,
+            durable,
             writing: None,
             writes: 0,
-            held: Vec::new(),
+            send_after_write: Vec::new(),
             role: Role::Follower,
             leader: None,
-            heard: None,
-            due: now,
+            last_heard: None,
+            next_attempt: now,
             votes: BTreeSet::new(),
-            urged: false,
-            lead: None,
+            leadership_transfer: false,
+            leadership: None,
             verified: 0,
-            told: 0,
-            told_by_leader: false,
+            leader_commit: 0,
+            leader_commit_known: false,
             round: 0,
-            owes: None,
-            coming: None,
-            given,
-            size: MAX_MEMBERS,
-            leaving: None,
+            pending_response: None,
+            incoming_snapshot: None,
+            delivered,
+            target_size: MAX_MEMBERS,
+            leaving_since: None,
             #[cfg(test)]
             fault: None,
         };
-        if consensus.campaigns() {
-            consensus.due = now + consensus.draw(timing.election);
+        if consensus.can_campaign() {
+            consensus.next_attempt = now + consensus.random_in(timing.election_timeout);
         }
         consensus
     }
@@ -288,95 +300,96 @@
         self.hard.term
     }
 
-    pub fn commit(&self) -> u64 {
+    pub fn commit_index(&self) -> u64 {
         self.hard.commit
     }
 
-    /// How far the leader has committed, as it last told: beyond what is committed here where its entries do not come.
-    pub fn told(&self) -> u64 {
-        self.told.max(self.hard.commit)
+    /// The leader's commit index, as last reported. It is beyond [`Replica::commit_index`] while entries are missing here.
+    pub fn leader_commit(&self) -> u64 {
+        self.leader_commit.max(self.hard.commit)
     }
 
-    /// Whether [`Replica::told`] reaches all that was acknowledged until lately: a leader of this term has told it, and has
-    /// committed an entry of its own, so that it knows what those before it have committed.
-    pub fn knows(&self) -> bool {
-        if fault!(self, FreshByParts) {
+    /// Whether [`Replica::leader_commit`] covers all that was acknowledged until recently: this term's leader has reported
+    /// it, and has committed an entry of its own term, so it knows what earlier leaders have committed.
+    pub fn knows_leader_commit(&self) -> bool {
+        if fault!(self, FreshFromChunks) {
             return self.leader.is_some();
         }
-        let told = self.lead.is_some() || self.leader.is_some() && self.told_by_leader;
-        told && self.log.term(self.told().min(self.log.last())) == Some(self.hard.term)
+        let known = self.leadership.is_some() || self.leader.is_some() && self.leader_commit_known;
+        known && self.log.term(self.leader_commit().min(self.log.last_index())) == Some(self.hard.term)
     }
 
-    pub fn last(&self) -> u64 {
-        self.log.last()
+    pub fn last_index(&self) -> u64 {
+        self.log.last_index()
     }
 
     pub fn disk(&self) -> Disk {
         self.disk
     }
 
-    /// Whether this disk votes and counts.
-    pub fn standing(&self) -> bool {
-        self.hard.standing
+    /// Whether a committed membership is known to contain this disk.
+    pub fn is_voter(&self) -> bool {
+        self.hard.voter
     }
 
-    /// Whether the host, which is about to stop, had better serve on: another is taking this member's place.
+    /// Whether a host that is about to stop should run on for now, because another member is replacing this one.
     pub fn is_being_replaced(&self) -> bool {
-        let (index, roster) = self.log.roster();
-        let out = !roster.members.is_empty() && !roster.names(self.me, self.disk);
-        out && (index > self.hard.commit && self.hard.standing || self.lead.is_some())
-            || self.leaving.is_some_and(|at| self.brings_up(at))
+        let (index, membership) = self.log.membership();
+        let removed = !membership.members.is_empty() && !membership.contains(self.me, self.disk);
+        removed && (index > self.hard.commit && self.hard.voter || self.leadership.is_some())
+            || self.leaving_since.is_some_and(|at| self.has_live_learner(at))
     }
 
-    /// Whether a learner answers that may take this leader's place.
-    fn brings_up(&self, now: Micros) -> bool {
-        let limit = self.timing.election.1;
-        let answers = |p: &Peer| !p.leaves(now) && p.heard.is_some_and(|at| now < at + limit);
-        self.lead.as_ref().is_some_and(|lead| lead.learners.values().any(answers))
+    /// Whether this is the leader and has a live learner that may replace it.
+    fn has_live_learner(&self, now: Micros) -> bool {
+        let limit = self.timing.election_timeout.1;
+        let answers = |p: &Peer| !p.is_leaving(now) && p.last_heard.is_some_and(|at| now < at + limit);
+        self.leadership.as_ref().is_some_and(|lead| lead.learners.values().any(answers))
     }
 
-    /// The latest roster in the log, committed or not.
-    pub fn roster(&self) -> &Roster {
-        self.log.roster().1
+    /// The latest membership in the log, committed or not.
+    pub fn membership(&self) -> &Membership {
+        self.log.membership().1
     }
 
-    /// The first entry that is still kept: the host may hand a snapshot once this lies far back.
-    pub fn first(&self) -> u64 {
+    /// The first entry that is still kept. The host may hand over a snapshot once this lies far back.
+    pub fn first_index(&self) -> u64 {
         self.log.base() + 1
     }
 
-    /// The snapshot on disk or on its way there.
+    /// The snapshot that is on disk or being written.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.log.snapshot
     }
 
-    /// Whether its log, in memory, has this entry or has left it behind.
+    /// Whether the log in memory has this entry or has already dropped it.
     #[cfg(test)]
     pub(crate) fn holds(&self, index: u64, term: u64) -> bool {
         index <= self.log.base() || self.log.term(index) == Some(term)
     }
 
-    /// All that it remembers of times lies so much further back, and chance begins anew: members that differ in
-    /// nothing else become alike.
+    /// Moves all stored times back by `by` and resets the random state, so that replicas that differ in nothing else
+    /// become equal.
     #[cfg(test)]
     pub(crate) fn rebase(&mut self, by: Micros) {
         let back = |at: &mut Micros| *at = at.saturating_sub(by);
-        self.chance = 0;
-        back(&mut self.due);
-        self.heard.iter_mut().for_each(back);
+        self.rng_state = 0;
+        back(&mut self.next_attempt);
+        self.last_heard.iter_mut().for_each(back);
         self.writing.iter_mut().for_each(|w| back(&mut w.1));
-        self.leaving.iter_mut().for_each(back);
-        let Some(lead) = &mut self.lead else { return };
-        back(&mut lead.beat);
-        back(&mut lead.since);
+        self.leaving_since.iter_mut().for_each(back);
+        let Some(lead) = &mut self.leadership else { return };
+        back(&mut lead.next_heartbeat);
+        back(&mut lead.elected_at);
         for peer in lead.peers.values_mut().chain(lead.learners.values_mut()) {
-            peer.heard.iter_mut().for_each(back);
-            peer.leaving.iter_mut().for_each(back);
+            peer.last_heard.iter_mut().for_each(back);
+            peer.leaving_reported.iter_mut().for_each(back);
         }
     }
 
+    /// Handles one input at time `now` and adds what the host has to do to `out`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Output) {
-        if self.role == Role::Out {
+        if self.role == Role::Failed {
             match input {
                 Input::Propose { ticket, .. } => out.proposed.push((ticket, Err(NotLeader(None)))),
                 Input::Read { ticket } => out.read.push((ticket, Err(NotLeader(None)))),
@@ -388,784 +401,858 @@
         match input {
             Input::Tick => {}
             Input::Message { from, from_disk, message } if from != self.me => {
-                self.message(now, from, from_disk, message, out)
+                self.handle_message(now, from, from_disk, message, out)
             }
             Input::Message { .. } => {}
-            Input::Written { number } => self.written(now, number, out),
+            Input::Written { number } => self.write_finished(now, number, out),
             Input::WriteFailed => {
-                self.follow(now, self.hard.term, None, out);
-                self.role = Role::Out;
-                self.held.clear();
+                self.become_follower(now, self.hard.term, None, out);
+                self.role = Role::Failed;
+                self.send_after_write.clear();
                 out.wake_at = Micros::MAX;
                 return;
             }
-            Input::Propose { ticket, data } => match self.lead.is_some() {
+            Input::Propose { ticket, data } => match self.leadership.is_some() {
                 true => {
                     let index = self.append(Payload::Data(data));
-                    self.lead.as_mut().expect("leads").tickets.insert(index, ticket);
+                    self.leadership.as_mut().expect("leads").proposals.insert(index, ticket);
                 }
                 false => out.proposed.push((ticket, Err(NotLeader(self.leader)))),
             },
-            Input::Read { ticket } => match &mut self.lead {
+            Input::Read { ticket } => match &mut self.leadership {
                 Some(lead) => lead.reads.push((ticket, lead.round + 1)),
                 None => out.read.push((ticket, Err(NotLeader(self.leader)))),
             },
             Input::Snapshot { index, data } => {
-                if index <= self.given {
-                    let hold = self.lead.as_ref().and_then(|lead| lead.hold());
-                    self.log.compact(index, data, self.timing.tail, hold);
+                if index <= self.delivered {
+                    let keep_after = self.leadership.as_ref().and_then(|lead| lead.oldest_transfer());
+                    self.log.compact(index, data, self.timing.log_tail_entries, keep_after);
                 }
             }
             Input::Seeds(seeds) => self.seeds = seeds,
-            Input::Size(size) => self.size = size.min(MAX_MEMBERS),
-            Input::Yield => {
-                self.leaving = Some(now);
-                // A spare that has caught up takes this place while it still leads; one that is being brought up to date
-                // would have to begin anew with another leader.
-                if !self.change(now) && !self.brings_up(now) {
-                    self.hand_over(now, out);
-                    self.say_leaving(now, out);
+            Input::TargetSize(size) => self.target_size = size.min(MAX_MEMBERS),
+            Input::PrepareToStop => {
+                self.leaving_since = Some(now);
+                // A learner that has caught up replaces this member while it still leads. For one that is still catching
+                // up the leader waits: under another leader it would have to start over.
+                if !self.propose_membership_change(now) && !self.has_live_learner(now) {
+                    self.transfer_leadership(now, out);
+                    self.report_leaving(now, out);
                 }
             }
         }
-        self.timers(now, out);
-        if self.lead.is_some() {
-            self.change(now);
-            self.advance();
-            self.retire(now, out);
+        self.check_timers(now, out);
+        if self.leadership.is_some() {
+            self.propose_membership_change(now);
+            self.advance_commit();
+            self.step_down_if_removed(now, out);
         }
-        if self.lead.is_some() {
+        if self.leadership.is_some() {
             self.answer_reads(now, out);
-            self.serve(now, out);
+            self.replicate(now, out);
         }
-        self.give(out);
-        self.write(now, out);
-        self.wake(now, out);
+        self.deliver_committed(out);
+        self.start_write(now, out);
+        self.set_wake_up(now, out);
     }
 
-    fn draw(&mut self, (from, to): (Micros, Micros)) -> Micros {
-        self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.chance;
+    fn random_in(&mut self, (from, to): (Micros, Micros)) -> Micros {
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.rng_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         from + (z ^ (z >> 31)) % (to - from).max(1)
     }
 
-    // Time
+    // Timers
 
-    fn timers(&mut self, now: Micros, out: &mut Output) {
-        if self.lead.is_some() {
-            let slow = self.writing.is_some_and(|(_, began, _)| now >= began + self.timing.disk);
-            let waited = self.leaving.is_some_and(|at| now >= at + HANDS_OVER && now < at + LEAVING);
-            if slow || waited && self.log.roster().1.names(self.me, self.disk) {
-                self.hand_over(now, out);
+    fn check_timers(&mut self, now: Micros, out: &mut Output) {
+        if self.leadership.is_some() {
+            let slow = self.writing.is_some_and(|(_, began, _)| now >= began + self.timing.disk_write_limit);
+            let waited_for_learner = self
+                .leaving_since
+                .is_some_and(|at| now >= at + LEARNER_CATCH_UP_LIMIT && now < at + LEAVING_VALIDITY);
+            if slow || waited_for_learner && self.log.membership().1.contains(self.me, self.disk) {
+                self.transfer_leadership(now, out);
             } else if !self.hears_majority(now) {
-                self.follow(now, self.hard.term, None, out);
+                self.become_follower(now, self.hard.term, None, out);
             }
             return;
         }
-        if now < self.due {
+        if now < self.next_attempt {
             return;
         }
-        if self.campaigns() {
-            let busy = self.writing.is_some_and(|(_, began, _)| now >= began + self.timing.election.0 / 2);
+        if self.can_campaign() {
+            let busy =
+                self.writing.is_some_and(|(_, began, _)| now >= began + self.timing.election_timeout.0 / 2);
             if busy {
-                self.due = now + self.draw(self.timing.retry);
+                self.next_attempt = now + self.random_in(self.timing.campaign_retry);
             } else {
                 self.campaign(now, true, out);
             }
         } else {
-            self.due = now + self.timing.hello;
+            self.next_attempt = now + self.timing.join_retry;
             self.leader = None;
             let mut to: BTreeSet<Member> = self.seeds.iter().copied().collect();
-            to.extend(self.log.roster().1.members.keys());
+            to.extend(self.log.membership().1.members.keys());
             to.remove(&self.me);
-            out.send.extend(to.into_iter().map(|m| (m, Message::Hello)));
+            out.send.extend(to.into_iter().map(|m| (m, Message::JoinRequest)));
         }
     }
 
-    fn wake(&self, now: Micros, out: &mut Output) {
-        let mut at = match &self.lead {
-            Some(lead) => lead.beat,
-            None => self.due,
+    fn set_wake_up(&self, now: Micros, out: &mut Output) {
+        let mut at = match &self.leadership {
+            Some(lead) => lead.next_heartbeat,
+            None => self.next_attempt,
         };
-        if let (Some(_), Some((_, began, _))) = (&self.lead, &self.writing) {
-            at = at.min(began + self.timing.disk);
+        if let (Some(_), Some((_, began, _))) = (&self.leadership, &self.writing) {
+            at = at.min(began + self.timing.disk_write_limit);
         }
         out.wake_at = at.max(now);
     }
 
-    // Who is a majority
+    // Majorities
 
-    /// The roster before the latest one, while that is not known to be committed: a majority of each is needed.
-    fn before(&self) -> Option<&Roster> {
-        let (index, _) = self.log.roster();
-        if index <= self.hard.commit { None } else { self.log.before() }
+    /// The membership before the latest one, as long as the latest isn't known to be committed: then a majority of each is
+    /// needed.
+    fn previous_membership(&self) -> Option<&Membership> {
+        let (index, _) = self.log.membership();
+        if index <= self.hard.commit { None } else { self.log.previous_membership() }
     }
 
-    /// The highest value that a majority of the roster's disks has.
-    fn majority(&self, roster: &Roster, of: impl Fn(Member, Disk) -> u64) -> u64 {
-        let mut values: Vec<u64> = roster.members.iter().map(|(m, d)| of(*m, *d)).collect();
+    /// The highest value that a majority of the members has reached.
+    fn majority_value(&self, membership: &Membership, value_of: impl Fn(Member, Disk) -> u64) -> u64 {
+        let mut values: Vec<u64> = membership.members.iter().map(|(m, d)| value_of(*m, *d)).collect();
         values.sort_unstable();
         if values.is_empty() { 0 } else { values[(values.len() - 1) / 2] }
     }
 
-    /// The highest value that majorities of all rosters in force have, of what a leader knows of its members.
-    fn agreed(&self, mine: u64, of: impl Fn(&Peer) -> u64) -> u64 {
-        let Some(lead) = &self.lead else { return 0 };
-        let of = |member: Member, disk: Disk| {
+    /// The highest value that a majority of every membership in force has reached, as far as the leader knows.
+    fn joint_majority_value(&self, own_value: u64, value_of: impl Fn(&Peer) -> u64) -> u64 {
+        let Some(lead) = &self.leadership else { return 0 };
+        let value_of = |member: Member, disk: Disk| {
             if member == self.me {
-                return if disk == self.disk { mine } else { 0 };
+                return if disk == self.disk { own_value } else { 0 };
             }
             match lead.peers.get(&member).filter(|p| p.disk == disk) {
-                Some(p) if fault!(self, LeaverDroppedEarly) && !p.standing => u64::MAX,
-                Some(p) => of(p),
+                Some(p) if fault!(self, NewMemberCountsAsUpToDate) && !p.voter => u64::MAX,
+                Some(p) => value_of(p),
                 None => 0,
             }
         };
-        let latest = self.majority(self.log.roster().1, of);
-        match self.before().filter(|_| !fault!(self, CountNewcomerEarly)) {
-            Some(before) => latest.min(self.majority(before, of)),
+        let latest = self.majority_value(self.log.membership().1, value_of);
+        match self.previous_membership().filter(|_| !fault!(self, CommitWithoutJoint)) {
+            Some(previous) => latest.min(self.majority_value(previous, value_of)),
             None => latest,
         }
     }
 
-    fn elected(&self) -> bool {
-        let by = |r: &Roster| self.majority(r, |m, d| u64::from(self.votes.contains(&(m, d)))) > 0;
-        if fault!(self, RemovedVotes) && self.log.before().is_some_and(by) {
+    fn has_majority_of_votes(&self) -> bool {
+        let elects =
+            |m: &Membership| self.majority_value(m, |m, d| u64::from(self.votes.contains(&(m, d)))) > 0;
+        if fault!(self, PreviousMembershipElects) && self.log.previous_membership().is_some_and(elects) {
             return true;
         }
-        let before = self.before().filter(|_| !fault!(self, SwapWithoutJoint));
-        by(self.log.roster().1) && before.is_none_or(by)
+        let previous = self.previous_membership().filter(|_| !fault!(self, ElectWithoutJoint));
+        elects(self.log.membership().1) && previous.is_none_or(elects)
     }
 
-    /// Whether majorities have answered within an election time.
+    /// Whether a majority of every membership in force has responded within an election timeout.
     fn hears_majority(&self, now: Micros) -> bool {
-        let Some(lead) = &self.lead else { return false };
-        let limit = self.timing.election.1;
+        let Some(lead) = &self.leadership else { return false };
+        let limit = self.timing.election_timeout.1;
         let live = |member: Member, disk: Disk| match lead.peers.get(&member) {
-            Some(p) if p.disk == disk => u64::from(p.heard.unwrap_or(lead.since) + limit > now),
+            Some(p) if p.disk == disk => u64::from(p.last_heard.unwrap_or(lead.elected_at) + limit > now),
             Some(_) => 0,
             None => u64::from(member == self.me && disk == self.disk),
         };
-        let by = |r: &Roster| self.majority(r, live) > 0;
-        by(self.log.roster().1) && self.before().is_none_or(by)
+        let responds = |m: &Membership| self.majority_value(m, live) > 0;
+        responds(self.log.membership().1) && self.previous_membership().is_none_or(responds)
     }
 
     // Roles
 
-    /// A member of either roster in force; a newcomer, too, as it may be the only one to hold its roster.
-    fn campaigns(&self) -> bool {
-        self.hard.standing || self.log.roster().1.names(self.me, self.disk)
+    /// Members of either membership in force may campaign, including a new one: it may be the only replica that has
+    /// the entry with its membership.
+    fn can_campaign(&self) -> bool {
+        self.hard.voter || self.log.membership().1.contains(self.me, self.disk)
     }
 
-    fn set_term(&mut self, term: u64) {
+    fn advance_term(&mut self, term: u64) {
         if term > self.hard.term {
             (self.hard.term, self.hard.vote) = (term, None);
             self.hard_dirty = true;
         }
     }
 
-    /// Becomes a follower in this term, if it is not one yet.
-    fn follow(&mut self, now: Micros, term: u64, leader: Option<Member>, out: &mut Output) {
-        let fresh = term > self.hard.term;
-        self.set_term(term);
-        if self.role != Role::Follower || fresh {
-            // What has come of a snapshot stays: a member on a slow link may ask for votes between two parts.
-            (self.verified, self.round, self.owes, self.told_by_leader) = (0, 0, None, false);
-            self.due = self.due.max(now + self.draw(self.timing.election));
+    /// Becomes a follower in this term, if it isn't one yet.
+    fn become_follower(&mut self, now: Micros, term: u64, leader: Option<Member>, out: &mut Output) {
+        let new_term = term > self.hard.term;
+        self.advance_term(term);
+        if self.role != Role::Follower || new_term {
+            // A partly received snapshot is kept: a member on a slow link may campaign between two chunks.
+            (self.verified, self.round, self.pending_response, self.leader_commit_known) =
+                (0, 0, None, false);
+            self.next_attempt = self.next_attempt.max(now + self.random_in(self.timing.election_timeout));
         }
         self.role = Role::Follower;
         self.leader = leader;
-        if let Some(lead) = self.lead.take() {
-            self.heard = None;
-            self.due = now + self.draw(self.timing.election);
-            out.lost.extend(lead.tickets.into_values());
+        if let Some(lead) = self.leadership.take() {
+            self.last_heard = None;
+            self.next_attempt = now + self.random_in(self.timing.election_timeout);
+            out.lost.extend(lead.proposals.into_values());
             out.read.extend(lead.reads.into_iter().map(|(t, _)| (t, Err(NotLeader(leader)))));
         }
     }
 
-    /// A leader of the current or a newer term has spoken.
-    fn hear_leader(&mut self, now: Micros, term: u64, leader: Member, out: &mut Output) {
+    /// Handles that a leader of the current or a newer term has sent something.
+    fn observe_leader(&mut self, now: Micros, term: u64, leader: Member, out: &mut Output) {
         if term > self.hard.term || self.role != Role::Follower || self.leader != Some(leader) {
-            self.follow(now, term, Some(leader), out);
+            self.become_follower(now, term, Some(leader), out);
         }
         if self.hard.vote.is_none() {
-            // No second vote in this term, not even by one that has just come to stand.
+            // Rules out a second vote in this term, even by a replica that has just become a voter.
             self.hard.vote = Some(leader);
             self.hard_dirty = true;
         }
-        self.heard = Some(now);
-        self.urged = false;
-        self.due = now + self.draw(self.timing.election);
+        self.last_heard = Some(now);
+        self.leadership_transfer = false;
+        self.next_attempt = now + self.random_in(self.timing.election_timeout);
     }
 
-    fn campaign(&mut self, now: Micros, pre: bool, out: &mut Output) {
+    fn campaign(&mut self, now: Micros, pre_vote: bool, out: &mut Output) {
         self.votes.clear();
         self.leader = None;
-        self.due = now + self.draw(self.timing.retry);
-        let (last, last_term) = (self.log.last(), self.log.last_term());
+        self.next_attempt = now + self.random_in(self.timing.campaign_retry);
+        let (last, last_term) = (self.log.last_index(), self.log.last_term());
         let term = self.hard.term + 1;
-        let ask = Message::Ask { pre, urged: self.urged, term, last, last_term };
-        if pre {
-            self.role = Role::Asking;
+        let request = Message::RequestVote {
+            pre_vote,
+            leadership_transfer: self.leadership_transfer,
+            term,
+            last_index: last,
+            last_term,
+        };
+        if pre_vote {
+            self.role = Role::PreCandidate;
         } else {
             self.role = Role::Candidate;
-            self.set_term(term);
+            self.advance_term(term);
             self.hard.vote = Some(self.me);
             self.hard_dirty = true;
-            // Counts and is asked for once it is on disk; elections on slow disks get the time they need.
-            self.due = now + self.draw(self.timing.election) / 2;
+            // The own vote counts, and others are asked, only once it is on disk. The next attempt is drawn from the
+            // election timeout rather than the retry time, so that elections on slow disks have enough time.
+            self.next_attempt = now + self.random_in(self.timing.election_timeout) / 2;
         }
-        let mut to: BTreeSet<Member> = self.log.roster().1.members.keys().copied().collect();
-        let before = if fault!(self, RemovedVotes) { self.log.before() } else { self.before() };
-        to.extend(before.iter().flat_map(|b| b.members.keys().copied()));
+        let mut to: BTreeSet<Member> = self.log.membership().1.members.keys().copied().collect();
+        let previous = if fault!(self, PreviousMembershipElects) {
+            self.log.previous_membership()
+        } else {
+            self.previous_membership()
+        };
+        to.extend(previous.iter().flat_map(|p| p.members.keys().copied()));
         to.remove(&self.me);
-        if pre {
-            out.send.extend(to.into_iter().map(|m| (m, ask.clone())));
-            self.voted(now, (self.me, self.disk), out);
+        if pre_vote {
+            out.send.extend(to.into_iter().map(|m| (m, request.clone())));
+            self.record_vote(now, (self.me, self.disk), out);
         } else {
             let number = self.writes + 1;
-            self.held.extend(to.into_iter().map(|m| (number, m, ask.clone())));
+            self.send_after_write.extend(to.into_iter().map(|m| (number, m, request.clone())));
         }
     }
 
-    fn voted(&mut self, now: Micros, by: (Member, Disk), out: &mut Output) {
+    fn record_vote(&mut self, now: Micros, by: (Member, Disk), out: &mut Output) {
         self.votes.insert(by);
-        if !self.elected() {
+        if !self.has_majority_of_votes() {
             return;
         }
         match self.role {
-            Role::Asking => self.campaign(now, false, out),
-            Role::Candidate if self.votes.contains(&(self.me, self.disk)) => self.win(now),
+            Role::PreCandidate => self.campaign(now, false, out),
+            Role::Candidate if self.votes.contains(&(self.me, self.disk)) => self.become_leader(now),
             _ => {}
         }
     }
 
-    fn win(&mut self, now: Micros) {
+    fn become_leader(&mut self, now: Micros) {
         self.role = Role::Leader;
         self.leader = Some(self.me);
-        self.urged = false;
-        let next = self.log.last() + 1;
-        // Where both rosters name an address, the later one's disk is the one that is there.
-        let before = self.before().into_iter().flat_map(|r| &r.members);
-        let others = before.chain(&self.log.roster().1.members).filter(|(m, _)| **m != self.me);
+        self.leadership_transfer = false;
+        let next = self.log.last_index() + 1;
+        // Where both memberships contain an address, the disk of the later one is the current one.
+        let previous = self.previous_membership().into_iter().flat_map(|p| &p.members);
+        let others = previous.chain(&self.log.membership().1.members).filter(|(m, _)| **m != self.me);
         let peers = others.map(|(m, d)| (*m, Peer::new(*d, next, 0))).collect();
-        self.lead = Some(Box::new(Lead {
+        self.leadership = Some(Box::new(Leadership {
             peers,
             learners: BTreeMap::new(),
-            first: next,
+            first_index: next,
             round: 0,
-            beat: now,
-            since: now,
-            tickets: BTreeMap::new(),
+            next_heartbeat: now,
+            elected_at: now,
+            proposals: BTreeMap::new(),
             reads: Vec::new(),
         }));
-        self.append(Payload::Nothing);
+        self.append(Payload::Noop);
     }
 
-    /// A leader goes, and asks the member that is furthest to take over.
-    fn hand_over(&mut self, now: Micros, out: &mut Output) {
-        let Some(lead) = &self.lead else { return };
-        let limit = now.saturating_sub(self.timing.election.0);
-        let roster = self.log.roster().1;
-        let heard = |p: &Peer| p.heard.is_some_and(|at| at >= limit);
-        let able = lead.peers.iter().filter(|(m, p)| p.standing && roster.names(**m, p.disk) && heard(p));
-        if let Some((member, _)) = able.max_by_key(|(_, p)| p.matched) {
-            out.send.push((*member, Message::Take { term: self.hard.term }));
-        }
-        self.follow(now, self.hard.term, None, out);
+    /// Steps down as leader, and asks the most up-to-date voter to take over.
+    fn transfer_leadership(&mut self, now: Micros, out: &mut Output) {
+        let Some(lead) = &self.leadership else { return };
+        let limit = now.saturating_sub(self.timing.election_timeout.0);
+        let membership = self.log.membership().1;
+        let heard = |p: &Peer| p.last_heard.is_some_and(|at| at >= limit);
+        let candidates =
+            lead.peers.iter().filter(|(m, p)| p.voter && membership.contains(**m, p.disk) && heard(p));
+        if let Some((member, _)) = candidates.max_by_key(|(_, p)| p.match_index) {
+            out.send.push((*member, Message::TimeoutNow { term: self.hard.term }));
+        }
+        self.become_follower(now, self.hard.term, None, out);
     }
 
     // Messages
 
-    fn message(&mut self, now: Micros, from: Member, disk: Disk, message: Message, out: &mut Output) {
+    fn handle_message(&mut self, now: Micros, from: Member, disk: Disk, message: Message, out: &mut Output) {
         match message {
-            Message::Hello => self.hello(now, from, disk, out),
-            Message::Leads(leader) => {
-                // Also to one that takes itself for a member, and whose place another has taken.
-                let lost = self.leader.is_none() && self.lead.is_none();
-                if let Some(leader) = leader.filter(|l| lost && *l != self.me && *l != from) {
-                    out.send.push((leader, Message::Hello));
+            Message::JoinRequest => self.handle_join_request(now, from, disk, out),
+            Message::LeaderHint(leader) => {
+                // Also applies to a replica that believes to be a member but has been replaced.
+                let no_leader = self.leader.is_none() && self.leadership.is_none();
+                if let Some(leader) = leader.filter(|l| no_leader && *l != self.me && *l != from) {
+                    out.send.push((leader, Message::JoinRequest));
                 }
             }
-            Message::Ask { pre, urged, term, last, last_term } => {
-                self.asked(now, from, (pre, urged), term, (last_term, last), out);
-                let named = |r: &Roster| r.names(from, disk);
-                let strange = !named(self.log.roster().1) && !self.before().is_some_and(named);
-                if pre && strange && (self.lead.is_some() || self.leader.is_some()) {
-                    self.hello(now, from, disk, out);
+            Message::RequestVote { pre_vote, leadership_transfer, term, last_index, last_term } => {
+                self.handle_vote_request(
+                    now,
+                    from,
+                    (pre_vote, leadership_transfer),
+                    term,
+                    (last_term, last_index),
+                    out,
+                );
+                let is_member = |m: &Membership| m.contains(from, disk);
+                let non_member =
+                    !is_member(self.log.membership().1) && !self.previous_membership().is_some_and(is_member);
+                if pre_vote && non_member && (self.leadership.is_some() || self.leader.is_some()) {
+                    self.handle_join_request(now, from, disk, out);
                 }
             }
-            Message::Vote { pre, term, granted, commit } => {
+            Message::VoteResponse { pre_vote, term, granted, commit } => {
                 if !granted && term > self.hard.term {
-                    self.follow(now, term, None, out);
+                    self.become_follower(now, term, None, out);
                     return;
                 }
-                let wanted = match self.role {
-                    Role::Asking => pre && term == self.hard.term + 1,
-                    Role::Candidate => !pre && term == self.hard.term,
+                let expected = match self.role {
+                    Role::PreCandidate => pre_vote && term == self.hard.term + 1,
+                    Role::Candidate => !pre_vote && term == self.hard.term,
                     _ => false,
                 };
-                if granted && wanted {
-                    self.voted(now, (from, disk), out);
-                    if self.lead.is_some() {
-                        self.learn_commit(commit);
+                if granted && expected {
+                    self.record_vote(now, (from, disk), out);
+                    if self.leadership.is_some() {
+                        self.update_commit(commit);
                     }
                 }
             }
-            Message::Append { term, round, prev, prev_term, commit, entries } => {
+            Message::AppendEntries { term, round, prev_index, prev_term, commit, entries } => {
                 if term < self.hard.term {
-                    self.refuse(from, round, out);
-                } else if self.lead.is_none() {
-                    self.hear_leader(now, term, from, out);
-                    (self.told, self.told_by_leader) = (commit, true);
-                    self.appended(from, round, (prev, prev_term), commit, entries, out);
-                    self.say_leaving(now, out);
+                    self.reject_stale_leader(from, round, out);
+                } else if self.leadership.is_none() {
+                    self.observe_leader(now, term, from, out);
+                    (self.leader_commit, self.leader_commit_known) = (commit, true);
+                    self.handle_append(from, round, (prev_index, prev_term), commit, entries, out);
+                    self.report_leaving(now, out);
                 }
             }
-            Message::Part { term, round, .. } if term < self.hard.term => self.refuse(from, round, out),
-            Message::Part { .. } if self.lead.is_some() => {}
-            Message::Part { term, round, index, index_term, roster, roster_index, total, offset, bytes } => {
-                self.hear_leader(now, term, from, out);
+            Message::SnapshotChunk { term, round, .. } if term < self.hard.term => {
+                self.reject_stale_leader(from, round, out)
+            }
+            Message::SnapshotChunk { .. } if self.leadership.is_some() => {}
+            Message::SnapshotChunk {
+                term,
+                round,
+                index,
+                index_term,
+                membership,
+                membership_index,
+                total,
+                offset,
+                bytes,
+            } => {
+                self.observe_leader(now, term, from, out);
                 self.round = self.round.max(round);
-                let new = Snapshot { index, term: index_term, roster, roster_index, data: Vec::new() };
-                self.part(from, new, total, offset, &bytes, out);
+                let new =
+                    Snapshot { index, term: index_term, membership, membership_index, data: Vec::new() };
+                self.handle_snapshot_chunk(from, new, total, offset, &bytes, out);
             }
-            Message::Ack { term, .. } | Message::Got { term, .. } if term > self.hard.term => {
-                self.follow(now, term, None, out)
+            Message::AppendResponse { term, .. } | Message::SnapshotChunkResponse { term, .. }
+                if term > self.hard.term =>
+            {
+                self.become_follower(now, term, None, out)
             }
-            Message::Ack { term, round, fits, matched, commit, standing } => {
-                if term == self.hard.term && self.lead.is_some() {
-                    self.acked(now, (from, disk), round, fits, matched, (standing, commit), out);
-                    self.learn_commit(commit);
+            Message::AppendResponse { term, round, success, match_index, commit, voter } => {
+                if term == self.hard.term && self.leadership.is_some() {
+                    self.handle_append_response(
+                        now,
+                        (from, disk),
+                        round,
+                        success,
+                        match_index,
+                        (voter, commit),
+                        out,
+                    );
+                    self.update_commit(commit);
                 }
             }
-            Message::Got { term, round, index, offset } => {
+            Message::SnapshotChunkResponse { term, round, index, offset } => {
                 if term == self.hard.term
                     && let Some(peer) = self.peer(from, disk)
                 {
-                    peer.heard = Some(now);
-                    let late = round < peer.round;
+                    peer.last_heard = Some(now);
+                    let stale = round < peer.round;
                     peer.round = peer.round.max(round);
                     if let Some(t) = &mut peer.transfer
                         && t.snapshot.index == index
                         && offset <= t.total()
-                        && (offset > t.come || !late)
+                        && (offset > t.received || !stale)
                     {
-                        t.come = offset;
+                        t.received = offset;
                         t.sent = t.sent.max(Some(offset));
                     }
                 }
             }
-            Message::Take { term } => {
-                if term == self.hard.term && self.leader == Some(from) && self.campaigns() {
-                    self.urged = true;
+            Message::TimeoutNow { term } => {
+                if term == self.hard.term && self.leader == Some(from) && self.can_campaign() {
+                    self.leadership_transfer = true;
                     self.campaign(now, true, out);
                 }
             }
-            Message::Leave { term } => {
+            Message::Leaving { term } => {
                 if term == self.hard.term
                     && let Some(peer) = self.peer(from, disk)
                 {
-                    peer.leaving = Some(now);
+                    peer.leaving_reported = Some(now);
                 }
             }
         }
     }
 
-    /// Tells one that leads in an old term of the new one, once that is on disk.
-    fn refuse(&mut self, from: Member, round: u64, out: &mut Output) {
-        let message = Message::Ack {
+    /// Tells a leader of an older term about the current term, once that is on disk.
+    fn reject_stale_leader(&mut self, from: Member, round: u64, out: &mut Output) {
+        let message = Message::AppendResponse {
             term: self.hard.term,
             round,
-            fits: false,
-            matched: self.log.last(),
+            success: false,
+            match_index: self.log.last_index(),
             commit: self.hard.commit,
-            standing: false,
+            voter: false,
         };
-        if self.safe.0 == self.hard.term {
+        if self.durable.0 == self.hard.term {
             out.send.push((from, message));
         }
     }
 
-    fn hello(&mut self, now: Micros, from: Member, disk: Disk, out: &mut Output) {
-        let (_, roster) = self.log.roster();
-        let named = |r: &Roster| r.names(from, disk);
-        // A founder's disk that another has followed at its address is never that disk again.
-        let stale = disk == 0 && roster.members.contains_key(&from);
-        let known = named(roster) || self.before().is_some_and(named);
-        let next = self.log.last() + 1;
-        let Some(lead) = &mut self.lead else {
-            out.send.push((from, Message::Leads(self.leader)));
+    fn handle_join_request(&mut self, now: Micros, from: Member, disk: Disk, out: &mut Output) {
+        let (_, membership) = self.log.membership();
+        let is_member = |m: &Membership| m.contains(from, disk);
+        // Disk 0 at an address where the membership has another disk: a founder's disk is never used again once
+        // it is replaced.
+        let stale = disk == 0 && membership.members.contains_key(&from);
+        let known = is_member(membership) || self.previous_membership().is_some_and(is_member);
+        let next = self.log.last_index() + 1;
+        let Some(lead) = &mut self.leadership else {
+            out.send.push((from, Message::LeaderHint(self.leader)));
             return;
         };
-        let learns = lead.learners.get(&from);
-        let full = learns.is_none() && lead.learners.len() >= MAX_LEARNERS;
-        if stale || known || full || learns.is_some_and(|p| p.disk == disk) {
+        let learner = lead.learners.get(&from);
+        let full = learner.is_none() && lead.learners.len() >= MAX_LEARNERS;
+        if stale || known || full || learner.is_some_and(|p| p.disk == disk) {
             return;
         }
-        // Only answers to what is sent from now on show that the machine has this disk after the one in the
-        // roster.
-        let peer = Peer { heard: Some(now), ..Peer::new(disk, next, lead.round + 1) };
+        // Only responses to rounds from now on show that the machine runs with this disk and no longer with the one
+        // in the membership.
+        let peer = Peer { last_heard: Some(now), ..Peer::new(disk, next, lead.round + 1) };
         lead.learners.insert(from, peer);
-        lead.beat = now;
+        lead.next_heartbeat = now;
     }
 
-    fn asked(
+    fn handle_vote_request(
         &mut self,
         now: Micros,
         from: Member,
-        (pre, urged): (bool, bool),
+        (pre_vote, leadership_transfer): (bool, bool),
         term: u64,
-        end: (u64, u64),
+        last_entry: (u64, u64),
         out: &mut Output,
     ) {
-        // Named or not: one that lags may not know the candidate, or be named itself without knowing it yet.
-        let window = self.timing.election.0.saturating_sub(self.timing.heartbeat);
-        let live = self.lead.is_some() || self.heard.is_some_and(|at| now < at + window);
-        let live = live && !urged;
-        if !pre && !live && term > self.hard.term {
-            self.follow(now, term, None, out);
-        }
-        let new_enough = end >= (self.log.last_term(), self.log.last());
-        let free = match pre {
+        // Members or not: a replica that lags may not know the candidate's membership, or not know yet that it is
+        // a member itself.
+        let window = self.timing.election_timeout.0.saturating_sub(self.timing.heartbeat_interval);
+        let leader_alive = self.leadership.is_some() || self.last_heard.is_some_and(|at| now < at + window);
+        let leader_alive = leader_alive && !leadership_transfer;
+        if !pre_vote && !leader_alive && term > self.hard.term {
+            self.become_follower(now, term, None, out);
+        }
+        let up_to_date = last_entry >= (self.log.last_term(), self.log.last_index());
+        let may_vote = match pre_vote {
             true => term > self.hard.term,
-            // Once, not again to the same address either: it may have another disk by now.
-            false => term == self.hard.term && self.hard.vote.is_none() && self.lead.is_none(),
+            // Only once, even for the same address: it may have another disk by now.
+            false => term == self.hard.term && self.hard.vote.is_none() && self.leadership.is_none(),
         };
-        let granted = !live && new_enough && free;
-        let told = if granted { term } else { self.hard.term };
-        let answer = Message::Vote { pre, term: told, granted, commit: self.hard.commit };
-        if granted && !pre {
+        let granted = !leader_alive && up_to_date && may_vote;
+        let response_term = if granted { term } else { self.hard.term };
+        let response =
+            Message::VoteResponse { pre_vote, term: response_term, granted, commit: self.hard.commit };
+        if granted && !pre_vote {
             self.hard.vote = Some(from);
             self.hard_dirty = true;
-            if self.campaigns() {
-                self.due = now + self.draw(self.timing.election);
+            if self.can_campaign() {
+                self.next_attempt = now + self.random_in(self.timing.election_timeout);
             }
         }
-        if self.safe_vote() || pre && self.safe.0 == self.hard.term {
-            out.send.push((from, answer));
+        if self.vote_is_durable() || pre_vote && self.durable.0 == self.hard.term {
+            out.send.push((from, response));
         } else {
-            self.held.push((self.writes + 1, from, answer));
+            self.send_after_write.push((self.writes + 1, from, response));
         }
     }
 
-    /// Whether all that a vote says is on disk.
-    fn safe_vote(&self) -> bool {
-        !self.hard_dirty && self.writing.is_none_or(|(_, _, safe)| safe == self.safe) && self.held.is_empty()
+    /// Whether all that a vote response states is on disk.
+    fn vote_is_durable(&self) -> bool {
+        !self.hard_dirty
+            && self.writing.is_none_or(|(_, _, durable)| durable == self.durable)
+            && self.send_after_write.is_empty()
     }
 
-    fn appended(
+    fn handle_append(
         &mut self,
         from: Member,
         round: u64,
-        (prev, prev_term): (u64, u64),
+        (prev_index, prev_term): (u64, u64),
         commit: u64,
         entries: Vec<Entry>,
         out: &mut Output,
     ) {
         self.round = self.round.max(round);
-        let known = prev <= self.hard.commit || self.log.term(prev) == Some(prev_term);
-        if !known {
-            // Where to try next: an entry whose term is not newer than the leader's at that place.
-            let mut hint = self.log.last().min(prev.saturating_sub(1));
+        let matches = prev_index <= self.hard.commit || self.log.term(prev_index) == Some(prev_term);
+        if !matches {
+            // Where the leader should try next: the last entry whose term isn't newer than the leader's `prev_term`.
+            let mut hint = self.log.last_index().min(prev_index.saturating_sub(1));
             while hint > self.hard.commit && self.log.term(hint).is_some_and(|t| t > prev_term) {
                 hint -= 1;
             }
-            self.ack(from, false, hint, out);
+            self.send_append_response(from, false, hint, out);
             return;
         }
-        let end = prev + entries.len() as u64;
-        let carries = !entries.is_empty();
+        let end = prev_index + entries.len() as u64;
+        let has_entries = !entries.is_empty();
         for entry in entries {
             if entry.index <= self.hard.commit || self.log.term(entry.index) == Some(entry.term) {
                 continue;
             }
-            if entry.index <= self.log.last() {
+            if entry.index <= self.log.last_index() {
                 self.log.truncate(entry.index);
             }
             self.log.push(entry);
         }
         self.verified = self.verified.max(end).max(self.hard.commit);
-        self.learn_commit(commit.min(self.verified));
-        if carries && self.log.synced < self.verified && !fault!(self, AckBeforeSync) {
-            self.owes = Some((true, 0));
+        self.update_commit(commit.min(self.verified));
+        if has_entries && self.log.synced < self.verified && !fault!(self, AckBeforeSync) {
+            self.pending_response = Some((true, 0));
         } else {
-            self.ack(from, true, 0, out);
+            self.send_append_response(from, true, 0, out);
         }
     }
 
-    /// Answers the leader, as far as it is on disk; later if not even the term is.
-    fn ack(&mut self, to: Member, fits: bool, hint: u64, out: &mut Output) {
-        if self.safe.0 != self.hard.term && !fault!(self, AckBeforeSync) {
-            self.owes = Some((fits, hint));
+    /// Acknowledges to the leader what is on disk, or defers the response if not even the term is.
+    fn send_append_response(&mut self, to: Member, success: bool, hint: u64, out: &mut Output) {
+        if self.durable.0 != self.hard.term && !fault!(self, AckBeforeSync) {
+            self.pending_response = Some((success, hint));
             return;
         }
-        let synced = if fault!(self, AckBeforeSync) { self.log.last() } else { self.log.synced };
+        let synced = if fault!(self, AckBeforeSync) { self.log.last_index() } else { self.log.synced };
         out.send.push((
             to,
-            Message::Ack {
+            Message::AppendResponse {
                 term: self.hard.term,
                 round: self.round,
-                fits,
-                matched: if fits { self.verified.min(synced) } else { hint },
+                success,
+                match_index: if success { self.verified.min(synced) } else { hint },
                 commit: self.hard.commit,
-                standing: self.safe.1,
+                voter: self.durable.1,
             },
         ));
     }
 
-    fn part(&mut self, from: Member, new: Snapshot, total: u64, offset: u64, bytes: &[u8], out: &mut Output) {
-        let (index, leader_term) = (new.index, self.hard.term);
-        if index <= self.hard.commit && !fault!(self, SnapshotOverTail) {
-            // It is known already: go on with entries.
+    fn handle_snapshot_chunk(
+        &mut self,
+        from: Member,
+        header: Snapshot,
+        total: u64,
+        offset: u64,
+        bytes: &[u8],
+        out: &mut Output,
+    ) {
+        let (index, leader_term) = (header.index, self.hard.term);
+        if index <= self.hard.commit && !fault!(self, StaleSnapshotInstalled) {
+            // These entries are committed here already, so the leader can continue with entries.
             self.verified = self.verified.max(index);
-            self.coming.take_if(|(_, c)| c.index <= index);
-            self.ack(from, true, 0, out);
+            self.incoming_snapshot.take_if(|(_, c)| c.index <= index);
+            self.send_append_response(from, true, 0, out);
             return;
         }
-        let same = |(t, c): &(u64, Snapshot)| (*t, c.index, c.term) == (leader_term, index, new.term);
-        match &self.coming {
-            // Doubled or overtaken: this leader has gone on to a newer one.
+        let is_same = |(t, c): &(u64, Snapshot)| (*t, c.index, c.term) == (leader_term, index, header.term);
+        match &self.incoming_snapshot {
+            // A duplicate or delayed chunk: this leader has switched to a newer snapshot.
             Some((t, c)) if *t == leader_term && c.index > index => return,
-            Some(coming) if same(coming) || fault!(self, PartOfAnother) => {}
-            _ => self.coming = Some((leader_term, new)),
+            Some(incoming) if is_same(incoming) || fault!(self, ChunksMixed) => {}
+            _ => self.incoming_snapshot = Some((leader_term, header)),
         }
-        let (_, coming) = self.coming.as_mut().expect("just made");
-        if coming.data.len() as u64 == offset {
-            coming.data.extend_from_slice(bytes);
+        let (_, incoming) = self.incoming_snapshot.as_mut().expect("just made");
+        if incoming.data.len() as u64 == offset {
+            incoming.data.extend_from_slice(bytes);
         }
-        let offset = coming.data.len() as u64;
-        // Also of the last part: what it waits for then is the disk.
-        if self.safe.0 == self.hard.term {
+        let offset = incoming.data.len() as u64;
+        // Also sent for the last chunk: the acknowledgement of the snapshot has to wait for the disk.
+        if self.durable.0 == self.hard.term {
             let (term, round) = (self.hard.term, self.round);
-            out.send.push((from, Message::Got { term, round, index, offset }));
+            out.send.push((from, Message::SnapshotChunkResponse { term, round, index, offset }));
         }
         if offset < total {
             return;
         }
         #[allow(unused_mut)]
-        let (_, mut snapshot) = self.coming.take().expect("whole");
-        if fault!(self, RosterLost) {
-            snapshot.roster = self.log.roster().1.clone();
+        let (_, mut snapshot) = self.incoming_snapshot.take().expect("complete");
+        if fault!(self, SnapshotMembershipLost) {
+            snapshot.membership = self.log.membership().1.clone();
         }
         let snapshot = Arc::new(snapshot);
         let index = snapshot.index;
-        if fault!(self, SnapshotOverTail) && (self.log.base()..self.log.last()).contains(&index) {
+        if fault!(self, StaleSnapshotInstalled) && (self.log.base()..self.log.last_index()).contains(&index) {
             self.log.truncate(index + 1);
         }
         self.log.install(snapshot.clone());
         self.verified = index;
-        self.given = index;
+        self.delivered = index;
         out.committed.clear();
         out.installed = Some(snapshot);
-        self.learn_commit(index);
-        self.owes = Some((true, 0));
+        self.update_commit(index);
+        self.pending_response = Some((true, 0));
         if fault!(self, AckInstallBeforeSync) {
             let (term, round, commit) = (self.hard.term, self.round, index);
-            let standing = self.safe.1;
-            out.send.push((from, Message::Ack { term, round, fits: true, matched: index, commit, standing }));
+            let voter = self.durable.1;
+            out.send.push((
+                from,
+                Message::AppendResponse { term, round, success: true, match_index: index, commit, voter },
+            ));
         }
     }
 
-    // The leader
+    // Leader
 
     fn append(&mut self, payload: Payload) -> u64 {
-        let index = self.log.last() + 1;
+        let index = self.log.last_index() + 1;
         self.log.push(Entry { term: self.hard.term, index, payload });
         index
     }
 
     fn peer(&mut self, member: Member, disk: Disk) -> Option<&mut Peer> {
-        let lead = self.lead.as_mut()?;
+        let lead = self.leadership.as_mut()?;
         let learner = lead.learners.get_mut(&member).filter(|p| p.disk == disk);
         learner.or_else(|| lead.peers.get_mut(&member).filter(|p| p.disk == disk))
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn acked(
+    fn handle_append_response(
         &mut self,
         now: Micros,
         (from, disk): (Member, Disk),
         round: u64,
-        fits: bool,
-        matched: u64,
-        (standing, commit): (bool, u64),
+        success: bool,
+        match_index: u64,
+        (voter, commit): (bool, u64),
         out: &mut Output,
     ) {
-        let (last, base) = (self.log.last(), self.log.base());
+        let (last, base) = (self.log.last_index(), self.log.base());
         let Some(peer) = self.peer(from, disk) else {
-            // What was meant for the disk before it has reached a new one.
-            return self.hello(now, from, disk, out);
+            // The message was meant for the previous disk and has reached a new one.
+            return self.handle_join_request(now, from, disk, out);
         };
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         let newest = round > peer.round;
         peer.round = peer.round.max(round);
-        peer.standing = standing;
+        peer.voter = voter;
         peer.commit = peer.commit.max(commit);
-        if !fits {
+        if !success {
             if let Some(t) = &mut peer.transfer {
-                // It had all of it and lacks it again: it ended before that was on disk.
-                if t.come == t.total() && t.sent.is_some() && newest && matched < t.snapshot.index {
-                    (t.come, t.sent) = (0, None);
+                // It had received the whole snapshot and lacks it again: it stopped before that was on disk.
+                if t.received == t.total() && t.sent.is_some() && newest && match_index < t.snapshot.index {
+                    (t.received, t.sent) = (0, None);
                 }
                 return;
             }
-            if newest && matched < peer.matched {
-                // What it had on disk is gone: an old copy. It counts again as far as it then has it again.
-                peer.matched = 0;
+            if newest && match_index < peer.match_index {
+                // Its disk lost entries that were synced: an old copy was restored. It counts only for what it
+                // acknowledges from now on.
+                peer.match_index = 0;
             }
-            // An answer that was overtaken says nothing; the next message finds out.
-            if matched < peer.next {
-                peer.next = matched.max(peer.matched) + 1;
+            // A delayed response says nothing new; the next message finds out.
+            if match_index < peer.next_index {
+                peer.next_index = match_index.max(peer.match_index) + 1;
                 peer.probing = true;
-                self.send_to(now, from, disk, true, out);
+                self.replicate_to(now, from, disk, true, out);
             }
             return;
         }
-        peer.matched = peer.matched.max(matched.min(last));
-        peer.next = peer.next.max(peer.matched + 1);
+        peer.match_index = peer.match_index.max(match_index.min(last));
+        peer.next_index = peer.next_index.max(peer.match_index + 1);
         peer.probing = false;
-        if peer.next > base {
+        if peer.next_index > base {
             peer.transfer = None;
         }
     }
 
-    /// A learner that has caught up takes a member's place, or joins; whether a roster was proposed.
-    fn change(&mut self, now: Micros) -> bool {
-        let Some(lead) = &self.lead else { return false };
+    /// Lets a learner that has caught up replace a member or join. Returns whether a membership was proposed.
+    fn propose_membership_change(&mut self, now: Micros) -> bool {
+        let Some(lead) = &self.leadership else { return false };
         if lead.learners.is_empty() {
             return false;
         }
-        let (last, base, commit) = (self.log.last(), self.log.base(), self.hard.commit);
-        let (index, roster) = self.log.roster();
-        if commit < lead.first || index > commit && !fault!(self, SecondChangeEarly) {
+        let (last, base, commit) = (self.log.last_index(), self.log.base(), self.hard.commit);
+        let (index, membership) = self.log.membership();
+        if commit < lead.first_index || index > commit && !fault!(self, OverlappingChanges) {
             return false;
         }
-        let limit = self.timing.election.1;
-        let heard = |p: &Peer| p.heard.is_some_and(|at| now < at + limit);
-        let near = |p: &Peer| p.matched >= base && p.matched + CAUGHT_UP >= last && p.round >= p.since;
-        let ready = |p: &Peer| near(p) && !p.probing && heard(p) && !p.leaves(now);
+        let limit = self.timing.election_timeout.1;
+        let heard = |p: &Peer| p.last_heard.is_some_and(|at| now < at + limit);
+        let caught_up = |p: &Peer| {
+            p.match_index >= base && p.match_index + CAUGHT_UP_ENTRIES >= last && p.round >= p.live_from_round
+        };
+        let ready = |p: &Peer| caught_up(p) && !p.probing && heard(p) && !p.is_leaving(now);
         let mut ready = lead.learners.iter().filter(|(_, p)| ready(p));
-        let own = ready.clone().find(|(m, _)| roster.members.contains_key(m));
-        let Some((newcomer, disk)) = own.or_else(|| ready.next()).map(|(m, p)| (*m, p.disk)) else {
+        let same_address = ready.clone().find(|(m, _)| membership.members.contains_key(m));
+        let Some((learner, disk)) = same_address.or_else(|| ready.next()).map(|(m, p)| (*m, p.disk)) else {
             return false;
         };
-        let gone = match own {
-            Some(_) => Some(newcomer),
-            None => self.gone(now, lead, roster),
+        let replaced = match same_address {
+            Some(_) => Some(learner),
+            None => self.replaceable_member(now, lead, membership),
         };
-        // One more that raises the majority would weaken a group that is not whole.
-        let whole = || roster.members.len() % 2 == 0 || lead.peers.values().all(|p| p.standing && heard(p));
-        if gone.is_none() && (roster.members.len() >= self.size || !whole()) {
+        // One more member that raises the majority would weaken a group in which some member is down.
+        let all_healthy =
+            || membership.members.len() % 2 == 0 || lead.peers.values().all(|p| p.voter && heard(p));
+        if replaced.is_none() && (membership.members.len() >= self.target_size || !all_healthy()) {
             return false;
         }
-        let old = roster.clone();
+        let old = membership.clone();
         let mut new = old.clone();
-        if let Some(gone) = gone {
-            new.members.remove(&gone);
+        if let Some(replaced) = replaced {
+            new.members.remove(&replaced);
         }
-        new.members.insert(newcomer, disk);
-        let lead = self.lead.as_mut().expect("leads");
-        let peer = lead.learners.remove(&newcomer).expect("there");
-        lead.peers.insert(newcomer, peer);
+        new.members.insert(learner, disk);
+        let lead = self.leadership.as_mut().expect("leads");
+        let peer = lead.learners.remove(&learner).expect("there");
+        lead.peers.insert(learner, peer);
         self.append(Payload::Joint { old, new });
         true
     }
 
-    /// The member whose place is free: that leaves, or has been silent longest, for long enough.
-    fn gone(&self, now: Micros, lead: &Lead, roster: &Roster) -> Option<Member> {
+    /// The member to replace: one that is leaving, or else the one silent for the longest time, if long enough.
+    fn replaceable_member(&self, now: Micros, lead: &Leadership, membership: &Membership) -> Option<Member> {
         if fault!(self, NeverReplaced) {
             return None;
         }
-        let leaves = |m: &&Member| match lead.peers.get(m) {
-            Some(peer) => peer.leaves(now),
-            None => self.leaving.is_some_and(|at| now < at + LEAVING),
+        let is_leaving = |m: &&Member| match lead.peers.get(m) {
+            Some(peer) => peer.is_leaving(now),
+            None => self.leaving_since.is_some_and(|at| now < at + LEAVING_VALIDITY),
         };
-        let leaver = roster.members.keys().find(leaves).copied();
-        leaver.or_else(|| {
-            let heard = |p: &Peer| p.heard.unwrap_or(lead.since);
-            let peers = lead.peers.iter().filter(|(m, p)| roster.names(**m, p.disk));
-            let silent = peers.filter(|(_, p)| heard(p) + self.timing.gone <= now);
+        let leaving = membership.members.keys().find(is_leaving).copied();
+        leaving.or_else(|| {
+            let heard = |p: &Peer| p.last_heard.unwrap_or(lead.elected_at);
+            let peers = lead.peers.iter().filter(|(m, p)| membership.contains(**m, p.disk));
+            let silent = peers.filter(|(_, p)| heard(p) + self.timing.replace_after <= now);
             silent.min_by_key(|(_, p)| heard(p)).map(|(m, _)| *m)
         })
     }
 
-    /// A leader that no committed roster names goes once a majority that stays knows so.
-    fn retire(&mut self, now: Micros, out: &mut Output) {
-        let Some(lead) = &self.lead else { return };
-        let (index, roster) = self.log.roster();
-        if index > self.hard.commit || roster.names(self.me, self.disk) {
+    /// A leader that the committed membership no longer contains steps down once a majority of that membership knows that it
+    /// is committed.
+    fn step_down_if_removed(&mut self, now: Micros, out: &mut Output) {
+        let Some(lead) = &self.leadership else { return };
+        let (index, membership) = self.log.membership();
+        if index > self.hard.commit || membership.contains(self.me, self.disk) {
             return;
         }
         let knows = |m: Member, d: Disk| {
             let peer = lead.peers.get(&m).filter(|p| p.disk == d);
-            u64::from(peer.is_some_and(|p| p.standing && p.commit >= index))
+            u64::from(peer.is_some_and(|p| p.voter && p.commit >= index))
         };
-        if self.majority(roster, knows) > 0 {
-            self.hand_over(now, out);
+        if self.majority_value(membership, knows) > 0 {
+            self.transfer_leadership(now, out);
         }
     }
 
-    fn say_leaving(&mut self, now: Micros, out: &mut Output) {
-        let leaves = self.leaving.is_some_and(|at| now < at + LEAVING);
-        if let Some(leader) = self.leader.filter(|l| leaves && *l != self.me) {
-            out.send.push((leader, Message::Leave { term: self.hard.term }));
+    fn report_leaving(&mut self, now: Micros, out: &mut Output) {
+        let is_leaving = self.leaving_since.is_some_and(|at| now < at + LEAVING_VALIDITY);
+        if let Some(leader) = self.leader.filter(|l| is_leaving && *l != self.me) {
+            out.send.push((leader, Message::Leaving { term: self.hard.term }));
         }
     }
 
-    /// A leader commits what a majority has on disk.
-    fn advance(&mut self) {
+    /// Commits what a majority has on disk.
+    fn advance_commit(&mut self) {
         loop {
             let commit = self.hard.commit;
-            let mut to = self.agreed(self.log.synced, |p| p.matched);
+            let mut to = self.joint_majority_value(self.log.synced, |p| p.match_index);
             if to <= commit || self.log.term(to) != Some(self.hard.term) {
                 return;
             }
-            let (roster, _) = self.log.roster();
-            if roster > commit {
-                // What is after a roster needs that roster's majority.
-                to = to.min(roster);
+            let (membership_index, _) = self.log.membership();
+            if membership_index > commit {
+                // Entries after a membership change need a majority of the new membership.
+                to = to.min(membership_index);
             }
-            self.learn_commit(to);
+            self.update_commit(to);
         }
     }
 
-    fn learn_commit(&mut self, to: u64) {
-        let to = to.min(self.log.last());
+    fn update_commit(&mut self, to: u64) {
+        let to = to.min(self.log.last_index());
         if to <= self.hard.commit {
             return;
         }
-        let before = std::mem::replace(&mut self.hard.commit, to);
-        let (index, roster) = self.log.roster();
-        if let Some(lead) = &mut self.lead
+        let previous_commit = std::mem::replace(&mut self.hard.commit, to);
+        let (index, membership) = self.log.membership();
+        if let Some(lead) = &mut self.leadership
             && index <= to
-            && index > before
+            && index > previous_commit
         {
-            // All are to know at once; whose place is taken, or is not, learns from now on.
-            lead.beat = 0;
-            let out = lead.peers.extract_if(.., |m, p| !roster.names(*m, p.disk));
-            lead.learners.extend(out);
-        }
-        // The latest roster may still be open; the one before it then is not, or this one would not be there.
-        let named = match index <= to {
-            true => roster.names(self.me, self.disk),
-            false => self.log.before().is_some_and(|b| b.names(self.me, self.disk)),
+            // All are told at once. Peers that the new membership doesn't contain continue as learners.
+            lead.next_heartbeat = 0;
+            let removed = lead.peers.extract_if(.., |m, p| !membership.contains(*m, p.disk));
+            lead.learners.extend(removed);
+        }
+        // If the latest membership isn't committed yet, the one before it is, or the latest wouldn't have been proposed.
+        let voter = match index <= to {
+            true => membership.contains(self.me, self.disk),
+            false => self.log.previous_membership().is_some_and(|b| b.contains(self.me, self.disk)),
         };
-        // That a roster is committed is known only by the commit index: it must outlive a restart.
-        if named != self.hard.standing || index <= to && index > before {
-            self.hard.standing = named;
+        // Only the commit index shows that a membership is committed, so it has to survive a restart.
+        if voter != self.hard.voter || index <= to && index > previous_commit {
+            self.hard.voter = voter;
             self.hard_dirty = true;
         }
     }
 
     fn answer_reads(&mut self, now: Micros, out: &mut Output) {
-        let confirmed =
-            if fault!(self, ReadUnconfirmed) { u64::MAX } else { self.agreed(u64::MAX, |p| p.round) };
+        let confirmed = if fault!(self, ReadUnconfirmed) {
+            u64::MAX
+        } else {
+            self.joint_majority_value(u64::MAX, |p| p.round)
+        };
         let commit = self.hard.commit;
-        let Some(lead) = &mut self.lead else { return };
-        if lead.reads.is_empty() || commit < lead.first {
+        let Some(lead) = &mut self.leadership else { return };
+        if lead.reads.is_empty() || commit < lead.first_index {
             return;
         }
         lead.reads.retain(|(ticket, round)| {
@@ -1175,137 +1262,153 @@
             }
             !done
         });
-        // One round at a time: reads that come meanwhile share the next.
+        // One round at a time: reads that arrive in the meantime share the next round.
         if !lead.reads.is_empty() && confirmed >= lead.round {
-            lead.beat = now;
+            lead.next_heartbeat = now;
         }
     }
 
-    fn serve(&mut self, now: Micros, out: &mut Output) {
-        let Some(lead) = &mut self.lead else { return };
-        let silent = |p: &Peer| p.heard.is_none_or(|at| now >= at + LEARNER_SILENCE);
+    fn replicate(&mut self, now: Micros, out: &mut Output) {
+        let Some(lead) = &mut self.leadership else { return };
+        let silent = |p: &Peer| p.last_heard.is_none_or(|at| now >= at + LEARNER_SILENCE);
         lead.learners.retain(|_, p| !silent(p));
-        // Nothing is held back in the log for one that is not there.
+        // The log keeps nothing for a member that isn't reachable.
         lead.peers.values_mut().filter(|p| silent(p)).for_each(|p| p.transfer = None);
-        let beat = now >= lead.beat;
-        if beat {
+        let heartbeat_due = now >= lead.next_heartbeat;
+        if heartbeat_due {
             lead.round += 1;
-            lead.beat = now + self.timing.heartbeat;
-        }
-        // A machine that learns with a new disk is not sent what its old one lacks: its answers would be taken for answers
-        // to what the new one was sent.
-        let limit = self.timing.election.1;
-        let gone = |(m, p): &(&Member, &Peer)| {
-            let learns = lead.learners.get(*m).is_some_and(|l| l.heard > p.heard);
-            learns && p.heard.is_none_or(|at| now >= at + limit)
+            lead.next_heartbeat = now + self.timing.heartbeat_interval;
+        }
+        // While a machine catches up with a new disk, nothing is sent for its old disk: the responses would be taken for
+        // responses to what the new disk was sent.
+        let limit = self.timing.election_timeout.1;
+        let superseded = |(m, p): &(&Member, &Peer)| {
+            let learner_is_newer = lead.learners.get(*m).is_some_and(|l| l.last_heard > p.last_heard);
+            learner_is_newer && p.last_heard.is_none_or(|at| now >= at + limit)
         };
-        let peers = lead.peers.iter().filter(|p| !gone(p)).chain(&lead.learners).map(|(m, p)| (*m, p.disk));
+        let peers =
+            lead.peers.iter().filter(|p| !superseded(p)).chain(&lead.learners).map(|(m, p)| (*m, p.disk));
         for (member, disk) in peers.collect::<Vec<_>>() {
-            self.send_to(now, member, disk, beat, out);
+            self.replicate_to(now, member, disk, heartbeat_due, out);
         }
     }
 
-    /// Sends what this disk lacks, and at a beat something in any case.
-    fn send_to(&mut self, now: Micros, member: Member, disk: Disk, beat: bool, out: &mut Output) {
-        let (term, commit, last) = (self.hard.term, self.hard.commit, self.log.last());
-        let Some(lead) = &mut self.lead else { return };
+    /// Sends the entries or snapshot chunks that this disk lacks, and at a heartbeat an empty message if there are none.
+    fn replicate_to(
+        &mut self,
+        now: Micros,
+        member: Member,
+        disk: Disk,
+        heartbeat_due: bool,
+        out: &mut Output,
+    ) {
+        let (term, commit, last) = (self.hard.term, self.hard.commit, self.log.last_index());
+        let Some(lead) = &mut self.leadership else { return };
         let round = lead.round;
         let found = lead.learners.get_mut(&member).filter(|p| p.disk == disk);
         let Some(peer) = found.or_else(|| lead.peers.get_mut(&member).filter(|p| p.disk == disk)) else {
             return;
         };
-        if peer.next <= self.log.base() {
-            let there = peer.heard.is_some_and(|at| now < at + self.timing.election.1);
+        if peer.next_index <= self.log.base() {
+            let reachable = peer.last_heard.is_some_and(|at| now < at + self.timing.election_timeout.1);
             if let Some(t) = &mut peer.transfer
                 && peer.round > t.round
-                && t.sent.is_some_and(|sent| sent > t.come)
+                && t.sent.is_some_and(|sent| sent > t.received)
             {
-                t.sent = if t.come > 0 { Some(t.come) } else { None };
+                t.sent = if t.received > 0 { Some(t.received) } else { None };
             }
             let newest = &self.log.snapshot;
-            let over = fault!(self, TransferStartsOver);
-            peer.transfer.take_if(|t| over && t.snapshot.index < newest.index || t.outdated(&self.log));
-            let part = self.timing.part as u64;
-            let mut sends = false;
-            if there && peer.transfer.is_none() {
-                peer.transfer = Some(Transfer::new(newest.clone()));
+            let restart = fault!(self, TransferRestarts);
+            peer.transfer.take_if(|t| restart && t.snapshot.index < newest.index || t.outdated(&self.log));
+            let chunk = self.timing.snapshot_chunk_bytes as u64;
+            let mut sent_any = false;
+            if reachable && peer.transfer.is_none() {
+                peer.transfer = Some(SnapshotTransfer::new(newest.clone()));
             }
             while let Some(t) = &mut peer.transfer
-                && there
-                && t.sent.is_none_or(|sent| sent < t.total().min(t.come + PARTS * part))
+                && reachable
+                && t.sent.is_none_or(|sent| sent < t.total().min(t.received + MAX_IN_FLIGHT_CHUNKS * chunk))
             {
                 let offset = t.sent.unwrap_or_default();
-                let end = t.total().min(offset + part);
+                let end = t.total().min(offset + chunk);
                 let bytes = t.snapshot.data[offset as usize..end as usize].to_vec();
-                (t.sent, t.round, sends) = (Some(end), round, true);
-                let Snapshot { index, term: index_term, ref roster, roster_index, .. } = *t.snapshot;
-                let (roster, total) = (roster.clone(), t.total());
-                let part = Message::Part {
+                (t.sent, t.round, sent_any) = (Some(end), round, true);
+                let Snapshot { index, term: index_term, ref membership, membership_index, .. } = *t.snapshot;
+                let (membership, total) = (membership.clone(), t.total());
+                let chunk = Message::SnapshotChunk {
                     term,
                     round,
                     index,
                     index_term,
-                    roster,
-                    roster_index,
+                    membership,
+                    membership_index,
                     total,
                     offset,
                     bytes,
                 };
-                out.send.push((member, part));
+                out.send.push((member, chunk));
             }
-            if sends {
+            if sent_any {
                 return;
             }
-            if !beat {
+            if !heartbeat_due {
                 return;
             }
-            // Keeps it from campaigning meanwhile; fits where its log does.
-            let prev = self.log.base();
-            let prev_term = self.log.term(prev).unwrap_or_default();
+            // Keeps the member from campaigning in the meantime. It succeeds if the log matches at the base.
+            let prev_index = self.log.base();
+            let prev_term = self.log.term(prev_index).unwrap_or_default();
             let entries = Vec::new();
-            out.send.push((member, Message::Append { term, round, prev, prev_term, commit, entries }));
+            out.send.push((
+                member,
+                Message::AppendEntries { term, round, prev_index, prev_term, commit, entries },
+            ));
             return;
         }
         let mut entries = Vec::new();
         let mut bytes = 0;
-        // What comes while a batch is on its way goes together with the next.
-        let under_way = !peer.probing && peer.next - 1 > peer.matched;
-        if under_way && !beat && last - (peer.next - 1) < FULL {
+        // Entries that arrive while a batch is in flight are sent together in the next one.
+        let batch_in_flight = !peer.probing && peer.next_index - 1 > peer.match_index;
+        if batch_in_flight && !heartbeat_due && last - (peer.next_index - 1) < FULL_BATCH_ENTRIES {
             return;
         }
-        let room = WINDOW.saturating_sub(peer.next - 1 - peer.matched.min(peer.next - 1));
-        let flight = self.log.bytes(peer.matched + 1, peer.next, FLIGHT_BYTES);
-        if !peer.probing || beat {
-            let room = if peer.probing { room.min(1) } else { room };
-            while (entries.len() as u64) < room && bytes < BATCH_BYTES && flight + bytes < FLIGHT_BYTES {
-                let Some(entry) = self.log.get(peer.next + entries.len() as u64) else { break };
+        let max_entries = MAX_UNACKED_ENTRIES
+            .saturating_sub(peer.next_index - 1 - peer.match_index.min(peer.next_index - 1));
+        let in_flight = self.log.bytes(peer.match_index + 1, peer.next_index, MAX_IN_FLIGHT_BYTES);
+        if !peer.probing || heartbeat_due {
+            let max_entries = if peer.probing { max_entries.min(1) } else { max_entries };
+            while (entries.len() as u64) < max_entries
+                && bytes < BATCH_BYTES
+                && in_flight + bytes < MAX_IN_FLIGHT_BYTES
+            {
+                let Some(entry) = self.log.get(peer.next_index + entries.len() as u64) else { break };
                 bytes += entry.size();
                 entries.push(entry.clone());
             }
         }
-        if entries.is_empty() && !beat {
+        if entries.is_empty() && !heartbeat_due {
             return;
         }
-        let prev = peer.next - 1;
-        let prev_term = self.log.term(prev).unwrap_or_default();
+        let prev_index = peer.next_index - 1;
+        let prev_term = self.log.term(prev_index).unwrap_or_default();
         if !peer.probing {
-            peer.next += entries.len() as u64;
+            peer.next_index += entries.len() as u64;
         }
-        debug_assert!(peer.next <= last + 1);
-        out.send.push((member, Message::Append { term, round, prev, prev_term, commit, entries }));
+        debug_assert!(peer.next_index <= last + 1);
+        out.send
+            .push((member, Message::AppendEntries { term, round, prev_index, prev_term, commit, entries }));
     }
 
-    // Out
+    // Output
 
-    fn give(&mut self, out: &mut Output) {
-        while self.given < self.hard.commit {
-            let Some(entry) = self.log.get(self.given + 1) else { break };
-            self.given += 1;
+    fn deliver_committed(&mut self, out: &mut Output) {
+        while self.delivered < self.hard.commit {
+            let Some(entry) = self.log.get(self.delivered + 1) else { break };
+            self.delivered += 1;
             out.committed.push(entry.clone());
         }
-        if let Some(lead) = &mut self.lead {
-            while let Some(first) = lead.tickets.first_entry() {
-                if *first.key() > self.given {
+        if let Some(lead) = &mut self.leadership {
+            while let Some(first) = lead.proposals.first_entry() {
+                if *first.key() > self.delivered {
                     break;
                 }
                 let (index, ticket) = first.remove_entry();
@@ -1314,7 +1417,7 @@
         }
     }
 
-    fn write(&mut self, now: Micros, out: &mut Output) {
+    fn start_write(&mut self, now: Micros, out: &mut Output) {
         if self.writing.is_some() || !(self.hard_dirty || self.log.is_dirty()) {
             return;
         }
@@ -1325,26 +1428,29 @@
         if fault!(self, ForgetVote) {
             hard.vote = None;
         }
-        self.writing = Some((self.writes, now, (hard.term, hard.standing, self.hard.vote)));
-        out.write = Some(self.log.write(self.writes, hard));
+        self.writing = Some((self.writes, now, (hard.term, hard.voter, self.hard.vote)));
+        out.write = Some(self.log.take_write(self.writes, hard));
     }
 
-    fn written(&mut self, now: Micros, number: u64, out: &mut Output) {
+    fn write_finished(&mut self, now: Micros, number: u64, out: &mut Output) {
         match self.writing {
-            Some((n, _, safe)) if n == number => self.safe = safe,
+            Some((n, _, durable)) if n == number => self.durable = durable,
             _ => return,
         }
         self.writing = None;
-        self.log.written();
-        for (_, to, message) in self.held.extract_if(.., |(n, ..)| *n <= number) {
+        self.log.write_finished();
+        for (_, to, message) in self.send_after_write.extract_if(.., |(n, ..)| *n <= number) {
             out.send.push((to, message));
         }
-        if self.role == Role::Candidate && self.safe.0 == self.hard.term && self.hard.vote == Some(self.me) {
-            self.voted(now, (self.me, self.disk), out);
+        if self.role == Role::Candidate && self.durable.0 == self.hard.term && self.hard.vote == Some(self.me)
+        {
+            self.record_vote(now, (self.me, self.disk), out);
         }
-        if let (Some((fits, hint)), Role::Follower, Some(leader)) = (self.owes, self.role, self.leader) {
-            self.owes = (fits && self.log.synced < self.verified).then_some((true, 0));
-            self.ack(leader, fits, hint, out);
+        if let (Some((success, hint)), Role::Follower, Some(leader)) =
+            (self.pending_response, self.role, self.leader)
+        {
+            self.pending_response = (success && self.log.synced < self.verified).then_some((true, 0));
+            self.send_append_response(leader, success, hint, out);
         }
     }
 }
--- a/crates/consensus/src/file.rs
+++ b/crates/consensus/src/file.rs
@@ -1,5 +1,5 @@
-//! The file of a store on `redb`: opened by one process at a time, never begun afresh in place of one that cannot be
-//! read, and written by transactions that are synced before they return.
+//! The file of a `redb` store: opened by one process at a time, never replaced by a new one when it cannot be read, and
+//! written by transactions that are synced before they return.
 
 use redb::backends::FileBackend;
 use redb::{Database, Durability};
@@ -8,51 +8,51 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a store: the file, and what of it.
+/// An error of a store, with the file concerned.
 #[derive(Debug)]
 pub struct DiskError {
     pub file: PathBuf,
-    pub what: String,
-    /// The system gives no more room: nothing is lost, and it may get better.
+    pub message: String,
+    /// The disk is full. Nothing is lost, and a later write may succeed.
     pub full: bool,
 }
 
 impl DiskError {
-    pub fn new(file: &Path, what: impl Into<String>) -> DiskError {
-        DiskError { file: file.to_path_buf(), what: what.into(), full: false }
+    pub fn new(file: &Path, message: impl Into<String>) -> DiskError {
+        DiskError { file: file.to_path_buf(), message: message.into(), full: false }
     }
 
-    /// That the database in a file cannot be opened, and what to do.
+    /// The error for a database that cannot be opened, with advice on what to do.
     pub fn opening(file: &Path, e: &redb::DatabaseError) -> DiskError {
-        let what = match e {
+        let message = match e {
             redb::DatabaseError::DatabaseAlreadyOpen => "is in use by another process".into(),
-            redb::DatabaseError::UpgradeRequired(v) => format!("is in an older form ({v}) of the store"),
+            redb::DatabaseError::UpgradeRequired(v) => format!("has an older file format ({v})"),
             e => format!("cannot be read: {e}; restore it, or move it away to come back as a new disk"),
         };
-        DiskError::new(file, what)
+        DiskError::new(file, message)
     }
 }
 
 impl fmt::Display for DiskError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.file.display(), self.what)
+        write!(f, "{}: {}", self.file.display(), self.message)
     }
 }
 
 impl std::error::Error for DiskError {}
 
-/// The name of a file until all that it begins with is in it and synced.
-fn unfinished(dir: &Path, name: &str) -> PathBuf {
+/// The name of a new file until its initial content is written and synced.
+fn temporary_path(dir: &Path, name: &str) -> PathBuf {
     dir.join(format!("{name}.new"))
 }
 
-/// Opens the file `name` in `dir` for this process alone, with the lock file `lock` beside it, and lets `read` make of it
-/// what it holds; `read` is told whether the file is new, and has synced what is to be in it when it returns. The system
-/// lets go of the lock when the process ends, however it ends.
+/// Opens the file `name` in `dir` for this process alone, with the lock file `lock` beside it, and has `read` load its
+/// content. `read` is told whether the file is new, and must have synced the initial content when it returns. The
+/// operating system releases the lock when the process ends, however it ends.
 ///
-/// A new file is begun under another name and has its own once it is whole, before anything is promised. So whichever
-/// names a loss of power keeps: a file of its own name that cannot be read has lost what it promised, and is refused; a
-/// begun one has promised nothing, and is taken up or begun again.
+/// A new file is created under a temporary name and renamed once it is complete, before anything is acknowledged. So
+/// whichever names survive a loss of power: a file under its final name that cannot be read has lost acknowledged data
+/// and is refused; a temporary file holds nothing acknowledged, and is completed or created again.
 pub fn open<T>(
     dir: &Path,
     name: &str,
@@ -60,66 +60,66 @@
     mut read: impl FnMut(FileBackend, &Path, bool) -> Result<T, DiskError>,
 ) -> Result<(T, File), DiskError> {
     let file = dir.join(name);
-    let bad = |what: String| DiskError::new(&file, what);
-    let cannot = |e: io::Error| DiskError::new(dir, format!("cannot make the folder: {e}"));
+    let error = |message: String| DiskError::new(&file, message);
+    let directory_error = |e: io::Error| DiskError::new(dir, format!("cannot create the directory: {e}"));
     if !dir.exists() {
-        std::fs::create_dir_all(dir).map_err(cannot)?;
+        std::fs::create_dir_all(dir).map_err(directory_error)?;
         if let Some(parent) = dir.parent().filter(|p| !p.as_os_str().is_empty()) {
-            File::open(parent).and_then(|d| d.sync_all()).map_err(cannot)?;
+            File::open(parent).and_then(|d| d.sync_all()).map_err(directory_error)?;
         }
     }
-    let held = File::create(dir.join(lock)).map_err(|e| bad(format!("cannot make {lock} beside it: {e}")))?;
-    held.try_lock().map_err(|_| bad("is in use by another process".into()))?;
-    let (made, begun) = (!file.exists(), unfinished(dir, name));
-    let mut read_at = |at: &Path| {
-        let open = std::fs::OpenOptions::new().read(true).write(true).create(made).truncate(false).open(at);
-        let handle = open.map_err(|e| bad(format!("cannot open for writing: {e}")))?;
-        let length = handle.metadata().map_err(|e| bad(e.to_string()))?.len();
-        if !made && length == 0 {
-            return Err(
-                bad("is empty: its content was lost; move it away to come back as a new disk".into()),
-            );
+    let lock_file = File::create(dir.join(lock))
+        .map_err(|e| error(format!("cannot create the lock file {lock}: {e}")))?;
+    lock_file.try_lock().map_err(|_| error("is in use by another process".into()))?;
+    let (is_new, temporary) = (!file.exists(), temporary_path(dir, name));
+    let mut read_file = |at: &Path| {
+        let open = std::fs::OpenOptions::new().read(true).write(true).create(is_new).truncate(false).open(at);
+        let handle = open.map_err(|e| error(format!("cannot open for writing: {e}")))?;
+        let length = handle.metadata().map_err(|e| error(e.to_string()))?.len();
+        if !is_new && length == 0 {
+            return Err(error(
+                "is empty: its content was lost; move it away to come back as a new disk".into(),
+            ));
         }
         let backend = FileBackend::new(handle).map_err(|e| DiskError::opening(&file, &e))?;
-        read(backend, &file, made && length == 0)
+        read(backend, &file, is_new && length == 0)
     };
-    let discard = || match begun.exists() {
-        true => {
-            std::fs::remove_file(&begun).map_err(|e| bad(format!("cannot remove {}: {e}", begun.display())))
-        }
+    let remove_temporary = || match temporary.exists() {
+        true => std::fs::remove_file(&temporary)
+            .map_err(|e| error(format!("cannot remove {}: {e}", temporary.display()))),
         false => Ok(()),
     };
-    let found = match made {
+    let content = match is_new {
         false => {
-            discard()?;
-            read_at(&file)?
+            remove_temporary()?;
+            read_file(&file)?
         }
-        true if begun.exists() => match read_at(&begun) {
-            Ok(found) => found,
+        true if temporary.exists() => match read_file(&temporary) {
+            Ok(content) => content,
             Err(_) => {
-                discard()?;
-                read_at(&begun)?
+                remove_temporary()?;
+                read_file(&temporary)?
             }
         },
-        true => read_at(&begun)?,
+        true => read_file(&temporary)?,
     };
-    // In any case: the process that made the file may have ended before it did this.
-    let named = if made { std::fs::rename(&begun, &file) } else { Ok(()) };
-    let synced = named.and_then(|()| File::open(dir)).and_then(|d| d.sync_all());
-    synced.map_err(|e| bad(format!("cannot be named and its folder synced: {e}")))?;
-    Ok((found, held))
+    // Synced even for an existing file: the process that created it may have ended before it did so.
+    let renamed = if is_new { std::fs::rename(&temporary, &file) } else { Ok(()) };
+    let synced = renamed.and_then(|()| File::open(dir)).and_then(|d| d.sync_all());
+    synced.map_err(|e| error(format!("cannot be renamed and its directory synced: {e}")))?;
+    Ok((content, lock_file))
 }
 
-/// One transaction, synced before this returns.
+/// Runs one transaction, synced before this returns.
 pub fn transact(
     db: &Database,
     file: &Path,
-    work: impl FnOnce(&redb::WriteTransaction) -> Result<(), redb::Error>,
+    body: impl FnOnce(&redb::WriteTransaction) -> Result<(), redb::Error>,
 ) -> Result<(), DiskError> {
     let run = || -> Result<(), redb::Error> {
         let mut t = db.begin_write()?;
         t.set_durability(Durability::Immediate)?;
-        work(&t)?;
+        body(&t)?;
         t.commit()?;
         Ok(())
     };
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,41 +1,44 @@
-//! One elected leader orders all changes in a log; a change counts once a majority of the members has it on
+//! Replicated log with one elected leader, after Raft: an entry is committed once a majority of the members has it on
 //! disk.
 //!
-//! [`Replica`] decides: inputs in, messages, writes and answers out, no clock, chance or I/O of its own.
-//! [`disk`] keeps what it writes. Time is told with every input, chance comes from a seed.
+//! [`Replica`] is the state machine of one member: inputs in; messages, writes and results out. It has no clock,
+//! randomness or I/O of its own: the time comes with every input, and random numbers come from a seed. [`disk`] stores
+//! what it writes.
 //!
 //! # Elections and the log
 //!
-//! A member asks first whether it would be voted for (pre-vote), and no one grants a vote while a live leader
-//! is heard, so a member that flaps or is cut one way unseats nobody. A leader that hears no majority for an
-//! election time, or whose disk does not finish a write, gives up. What a vote or an acknowledgement says is
-//! on disk before it is sent; the leader counts its own disk by the same rule. An entry counts as committed
-//! when a majority has it and an entry of the leader's own term at or after it.
+//! A member runs a pre-vote before it raises the term, and nobody grants a vote while a live leader is heard. So a member
+//! that restarts often, or can only send or only receive, does not depose a leader. A leader that hears from no majority
+//! for an election timeout, or whose disk doesn't finish a write in time, steps down. What a vote or an acknowledgement
+//! states is on disk before the message is sent; the leader counts its own disk by the same rule. An entry is committed
+//! when a majority has it, together with an entry of the leader's own term at or after it.
 //!
-//! # Members, and why two majorities always meet
+//! # Membership changes, and why two majorities always intersect
 //!
-//! A member is a machine *and a disk*. A disk has a number, drawn when its store is made (0 for founders); one that
-//! was lost is gone for good, and what comes back at its address is a stranger. So no member ever forgets what it
-//! promised. A stranger says Hello, is brought up to date as a learner, and takes the place of the disk before it, of a
-//! member at another address that leaves or has fallen silent, or a free one; else it stays a learner, a spare.
+//! A member is a machine *and a disk*. A disk gets a random number when its store is created (0 for founders). A lost
+//! disk never returns: whatever comes back at its address has another disk number and is a non-voter. So no
+//! member ever forgets what it promised. A non-voter sends a join request and is brought up to date as a learner. It
+//! then replaces the former disk at its own address, or a member at another address that leaves or has been silent for
+//! too long, or it takes a free place; otherwise it stays a learner as a spare.
 //!
-//! - *One entry R leads from the old roster O to the new one N.* Who holds R and does not know it to be committed
-//!   elects, commits and reads by a majority of O *and* one of N; who knows it, by one of N; who lacks R, by one of O.
-//! - *A later candidate that lacks R* needs a majority of O, which meets the one that committed R: someone there
-//!   refuses it. One that holds R, knowing it to be committed or not, needs a majority of N, as do all commits after R:
-//!   these meet. What O committed before R lies before R in every log that holds R.
-//! - *Nobody goes by N alone too early.* That R is committed is heard from a leader of the term that committed it or of
-//!   a later one, so who knows it campaigns in a later term.
-//! - *One change at a time.* R is proposed only when the roster before it is known to be committed and the leader has
+//! - *One log entry R changes the membership from O (old) to N (new).* A replica that has R but doesn't know that it is
+//!   committed elects, commits and reads by a majority of O *and* a majority of N; one that knows, by a majority of N; one
+//!   that lacks R, by a majority of O.
+//! - *A later candidate that lacks R* needs a majority of O. That intersects the majority of O that committed R, so some
+//!   voter refuses. A candidate that has R, whether or not it knows that R is committed, needs a majority of N, and so do
+//!   all commits after R: these majorities intersect. What O committed before R precedes R in every log that has R.
+//! - *No replica relies on N alone too early.* A replica learns that R is committed from a leader of the term that
+//!   committed it or of a later term, so a replica that knows campaigns in a later term.
+//! - *One change at a time.* R is proposed only when the previous membership is known to be committed and the leader has
 //!   committed an entry of its own term.
-//! - *A vote is given once*, and not again to the same address, which may have another disk by then. It is given to
-//!   anybody, by term and log: a voter that lags may not know who has taken another's place. A candidate counts
-//!   the votes of disks that its rosters name. Strangers unseat nobody, by the pre-vote.
-//! - *Who knows that R is committed says so.* Acknowledgements and votes carry the commit index of their sender, and a
-//!   member puts it on disk as soon as it passes a roster. So O is not needed a second time after a restart.
-//! - *Standing* says that a committed roster names this disk, as far as it knows.
+//! - *One vote per term*, and no second one to the same address, which may have another disk by then. A vote is granted to
+//!   anyone, by term and log only: a voter that lags may not know who has replaced whom. A candidate counts the
+//!   votes of the disks that its memberships contain. The pre-vote keeps non-members from deposing a leader.
+//! - *A replica that knows that R is committed says so.* Append and vote responses carry the sender's commit index, and a
+//!   replica persists its commit index as soon as it passes a membership entry. So O isn't needed again after a restart.
+//! - *Voter* means that a committed membership contains this disk, as far as the replica knows.
 //!
-//! Ways weighed, who is replaced and when: `docs/system/membership.md`.
+//! The alternatives, and who is replaced when: `docs/system/membership.md`.
 
 mod core;
 pub mod disk;
@@ -52,23 +55,23 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// How far a group that is founded anew goes ahead of the one before it, in entries and terms.
-pub const REFOUNDED: u64 = 1 << 20;
+/// How far the indexes and terms of a group recovered from one disk lie beyond those found on that disk.
+pub const RECOVERY_GAP: u64 = 1 << 20;
 
 pub type Micros = u64;
-/// A machine.
+/// The address of a machine.
 pub type Member = Ipv4Addr;
-/// The number of a member's disk; 0 is the one it was founded with.
+/// The number of a member's disk; founders start with 0.
 pub type Disk = u64;
 
-/// Who votes, and with which disk.
+/// The voting members, each with its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Hash)]
-pub struct Roster {
+pub struct Membership {
     pub members: BTreeMap<Member, Disk>,
 }
 
-impl Roster {
-    pub fn names(&self, member: Member, disk: Disk) -> bool {
+impl Membership {
+    pub fn contains(&self, member: Member, disk: Disk) -> bool {
         self.members.get(&member) == Some(&disk)
     }
 }
@@ -76,24 +79,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Hash)]
 pub enum Payload {
     /// A new leader's first entry.
-    Nothing,
-    Roster(Roster),
+    Noop,
+    /// A membership without its predecessor. No longer written; see [`Payload::Joint`].
+    Membership(Membership),
     Data(Vec<u8>),
-    /// From the old roster to the new one: both, as a newcomer may hold nothing of before. A kind of its own, so that a
-    /// program that goes by one majority at a time does not take it for what it knows ([`Payload::Roster`], which is
-    /// written no more).
+    /// A change of the membership. It carries both, because a new member may have nothing earlier. It is a separate
+    /// variant so that an older program, which goes by one majority at a time, doesn't mistake it for
+    /// [`Payload::Membership`].
     Joint {
-        old: Roster,
-        new: Roster,
+        old: Membership,
+        new: Membership,
     },
 }
 
 impl Payload {
-    /// The roster that it makes, if it does.
-    pub fn roster(&self) -> Option<&Roster> {
+    /// The membership that this entry introduces, if any.
+    pub fn membership(&self) -> Option<&Membership> {
         match self {
-            Payload::Roster(new) | Payload::Joint { new, .. } => Some(new),
-            Payload::Nothing | Payload::Data(_) => None,
+            Payload::Membership(new) | Payload::Joint { new, .. } => Some(new),
+            Payload::Noop | Payload::Data(_) => None,
         }
     }
 }
@@ -106,115 +110,117 @@
 }
 
 impl Entry {
-    /// About what it takes on a link or a disk.
+    /// Approximate size on the wire or on disk, in bytes.
     pub fn size(&self) -> usize {
         32 + if let Payload::Data(data) = &self.payload { data.len() } else { 64 }
     }
 }
 
-/// So many bytes of entries are as dear as a state of this size: a snapshot is due, and no longer tail is kept.
-pub fn enough(state: usize) -> usize {
-    state.max(64 << 10)
+/// How many bytes of entries cost as much as a snapshot of `state_bytes`. Once the log has grown that long a snapshot is
+/// due, and no longer log tail is kept.
+pub fn snapshot_threshold(state_bytes: usize) -> usize {
+    state_bytes.max(64 << 10)
 }
 
-/// The host's state when entry `index` was applied, and the roster at that point.
+/// The host's state after entry `index` was applied, and the membership at that point.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Hash)]
 pub struct Snapshot {
     pub index: u64,
     pub term: u64,
-    pub roster: Roster,
-    /// The entry that made this roster.
-    pub roster_index: u64,
+    pub membership: Membership,
+    /// The entry that introduced this membership.
+    pub membership_index: u64,
     pub data: Vec<u8>,
 }
 
-/// What a member must not forget besides the log.
+/// What a member has to persist besides the log and the snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Hash)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
     pub vote: Option<Member>,
-    /// Known to be committed; a lower bound.
+    /// Entries up to this index are known to be committed; more may be.
     pub commit: u64,
-    /// This disk is known to be named by a committed roster.
-    pub standing: bool,
+    /// A committed membership is known to contain this disk.
+    pub voter: bool,
 }
 
-/// What the disk holds.
+/// All that a member has on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Hash)]
-pub struct Saved {
-    pub hard: Hard,
+pub struct PersistentState {
+    pub hard: HardState,
     pub snapshot: Arc<Snapshot>,
-    /// Index and term of the entry before the first that is kept.
+    /// Index and term of the entry before the first one kept.
     pub base: (u64, u64),
     pub entries: Vec<Entry>,
 }
 
-impl Saved {
-    /// The first start ever of a founder: its disk is number 0 in this roster of founders.
-    pub fn founding(members: impl IntoIterator<Item = Member>) -> Saved {
-        let roster = Roster { members: members.into_iter().map(|m| (m, 0)).collect() };
-        let snapshot = Arc::new(Snapshot { roster, ..Snapshot::default() });
-        Saved { hard: Hard { standing: true, ..Hard::default() }, snapshot, ..Saved::default() }
+impl PersistentState {
+    /// The initial state of a founder, whose disk has number 0 in the first membership.
+    pub fn founding(members: impl IntoIterator<Item = Member>) -> PersistentState {
+        let membership = Membership { members: members.into_iter().map(|m| (m, 0)).collect() };
+        let snapshot = Arc::new(Snapshot { membership, ..Snapshot::default() });
+        let hard = HardState { voter: true, ..HardState::default() };
+        PersistentState { hard, snapshot, ..PersistentState::default() }
     }
 
-    /// An empty disk that is nobody's yet.
-    pub fn blank() -> Saved {
-        Saved::default()
+    /// The initial state of a disk that belongs to no group yet.
+    pub fn empty() -> PersistentState {
+        PersistentState::default()
     }
 
-    /// An old copy, put on a disk with a number of its own: it may lack what was promised since, votes and entries,
-    /// so it is a stranger that has to be let in, and brings its log along.
-    pub fn stranger(mut self) -> Saved {
-        (self.hard.standing, self.hard.vote) = (false, None);
+    /// The state of a disk restored from an old copy, under a disk number of its own. It may lack votes and entries
+    /// promised since the copy was made, so it is a non-voter that has to join again, and brings its log along.
+    pub fn into_non_voter(mut self) -> PersistentState {
+        (self.hard.voter, self.hard.vote) = (false, None);
         self
     }
 
-    /// A new group of one, from what a disk of the old one has left; `data`: the host's state after its last entry.
-    /// Term and index are far beyond any that the old group can have reached unseen, so whoever still holds its log
-    /// takes all anew.
-    pub fn refounded(&self, me: Member, disk: Disk, data: Vec<u8>) -> Saved {
-        let (index, term) = (self.last() + REFOUNDED, self.hard.term + REFOUNDED);
-        let roster = Roster { members: [(me, disk)].into() };
-        let snapshot = Snapshot { index, term, roster, roster_index: index, data };
-        let hard = Hard { term, vote: None, commit: index, standing: true };
-        Saved { hard, snapshot: Arc::new(snapshot), base: (index, term), entries: Vec::new() }
+    /// A new group with `me` as its only member, from what one disk of the old group has left. `data` is the host's state
+    /// after the last entry. Term and index lie far beyond any that the old group can have reached unseen, so a
+    /// member that still has the old group's log replaces all of it.
+    pub fn recovered(&self, me: Member, disk: Disk, data: Vec<u8>) -> PersistentState {
+        let (index, term) = (self.last_index() + RECOVERY_GAP, self.hard.term + RECOVERY_GAP);
+        let membership = Membership { members: [(me, disk)].into() };
+        let snapshot = Snapshot { index, term, membership, membership_index: index, data };
+        let hard = HardState { term, vote: None, commit: index, voter: true };
+        PersistentState { hard, snapshot: Arc::new(snapshot), base: (index, term), entries: Vec::new() }
     }
 
-    /// The last entry, or that of the snapshot.
-    pub fn last(&self) -> u64 {
+    /// The index of the last entry, or of the base if no entry is kept.
+    pub fn last_index(&self) -> u64 {
         self.base.0 + self.entries.len() as u64
     }
 
-    /// The roster that counts last on this disk.
-    pub fn roster(&self) -> &Roster {
+    /// The latest membership on this disk, committed or not.
+    pub fn membership(&self) -> &Membership {
         let mut later = self.entries.iter().rev().filter(|e| e.index > self.snapshot.index);
-        let made = later.find_map(|e| e.payload.roster());
-        made.unwrap_or(&self.snapshot.roster)
+        let latest = later.find_map(|e| e.payload.membership());
+        latest.unwrap_or(&self.snapshot.membership)
     }
 }
 
-/// To be put on disk as a whole, in the order of the numbers, and synced before [`Input::Written`].
+/// To be written to disk atomically, in the order of the numbers, and synced before [`Input::Written`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Write {
     pub number: u64,
-    pub hard: Hard,
+    pub hard: HardState,
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Entries up to this one are dropped; index and term.
+    /// Index and term of the last entry to drop from the beginning of the log.
     pub base: (u64, u64),
-    /// Entries from this one on are dropped; then `entries` follow.
-    pub from: Option<u64>,
+    /// Entries from this index on are dropped; then `entries` are appended.
+    pub truncate_from: Option<u64>,
     pub entries: Vec<Entry>,
 }
 
 impl Write {
-    /// What the write does to what is on disk.
-    pub fn apply(&self, saved: &mut Saved) {
+    /// Applies the write to what is on disk.
+    pub fn apply(&self, saved: &mut PersistentState) {
         saved.hard = self.hard.clone();
         if let Some(snapshot) = &self.snapshot {
             saved.snapshot = snapshot.clone();
         }
         saved.base = self.base;
-        if let Some(from) = self.from {
+        if let Some(from) = self.truncate_from {
             saved.entries.retain(|e| e.index < from);
             saved.entries.extend(self.entries.iter().cloned());
         }
@@ -222,74 +228,75 @@
     }
 }
 
-/// Between members. Who sent it, and from which disk, is told beside it.
+/// A message between members. The sender and its disk are given beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Hash)]
 pub enum Message {
-    /// From a disk that no roster names.
-    Hello,
-    /// The answer of one that does not lead.
-    Leads(Option<Member>),
-    /// A candidate asks for a vote, or whether there would be one.
-    Ask {
-        pre: bool,
-        urged: bool,
+    /// A disk that no membership contains asks to join.
+    JoinRequest,
+    /// The answer to a join request of one that isn't the leader: who leads, if known.
+    LeaderHint(Option<Member>),
+    /// A candidate asks for a vote or, with `pre_vote`, whether it would get one.
+    RequestVote {
+        pre_vote: bool,
+        /// The leader asked the candidate to take over, so a voter need not wait for the leader to fall silent.
+        leadership_transfer: bool,
         term: u64,
-        last: u64,
+        last_index: u64,
         last_term: u64,
     },
-    Vote {
-        pre: bool,
+    VoteResponse {
+        pre_vote: bool,
         term: u64,
         granted: bool,
         commit: u64,
     },
-    Append {
+    AppendEntries {
         term: u64,
         round: u64,
-        prev: u64,
+        prev_index: u64,
         prev_term: u64,
         commit: u64,
         entries: Vec<Entry>,
     },
-    /// `fits`: the log agrees up to `matched`, synced. If not, `matched` is where to try next.
-    Ack {
+    /// With `success`, the log matches the leader's up to `match_index`, synced. Otherwise `match_index` is where the
+    /// leader should try next.
+    AppendResponse {
         term: u64,
         round: u64,
-        fits: bool,
-        matched: u64,
+        success: bool,
+        match_index: u64,
         commit: u64,
-        standing: bool,
+        voter: bool,
     },
-    /// A piece of a snapshot.
-    Part {
+    SnapshotChunk {
         term: u64,
         round: u64,
         index: u64,
         index_term: u64,
-        roster: Roster,
-        roster_index: u64,
+        membership: Membership,
+        membership_index: u64,
         total: u64,
         offset: u64,
         bytes: Vec<u8>,
     },
-    /// How much of the snapshot has come.
-    Got {
+    /// How many bytes of the snapshot have been received.
+    SnapshotChunkResponse {
         term: u64,
         round: u64,
         index: u64,
         offset: u64,
     },
-    /// A leader that gives up asks its best follower to take over at once.
-    Take {
+    /// A leader that steps down asks its most up-to-date follower to campaign at once.
+    TimeoutNow {
         term: u64,
     },
-    /// The sender's host is about to stop; perhaps for good.
-    Leave {
+    /// The sender's host is about to stop, perhaps for good.
+    Leaving {
         term: u64,
     },
 }
 
-/// A message as bytes, with the sender's disk.
+/// Encodes a message together with the sender's disk.
 pub fn encode(disk: Disk, message: &Message) -> Vec<u8> {
     postcard::to_stdvec(&(disk, message)).expect("plain data")
 }
@@ -307,11 +314,11 @@
         from_disk: Disk,
         message: Message,
     },
-    /// The write of this number is synced.
+    /// The write with this number is synced.
     Written {
         number: u64,
     },
-    /// The disk refuses; the member takes no part any more until its store is opened again.
+    /// A write failed. The replica takes no further part until its store is opened again.
     WriteFailed,
     Propose {
         ticket: u64,
@@ -320,83 +327,83 @@
     Read {
         ticket: u64,
     },
-    /// The host's state after applying entry `index`; entries well before it may go.
+    /// The host's state after applying entry `index`; entries well before it may be dropped.
     Snapshot {
         index: u64,
         data: Vec<u8>,
     },
     /// Machines that may know the group.
     Seeds(Vec<Member>),
-    /// How many members there are to be; a newcomer beyond that waits for a place.
-    Size(usize),
-    /// The host is about to stop: a leader hands over, and a learner that has caught up takes this member's place.
-    Yield,
+    /// The intended number of voters; a learner beyond that waits for a place.
+    TargetSize(usize),
+    /// The host is about to stop: a leader transfers leadership, and a learner that has caught up replaces this member.
+    PrepareToStop,
 }
 
-/// Ask this member, if it is known who leads.
+/// This replica isn't the leader; the member that is, if known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader(pub Option<Member>);
 
-/// What is to be done. The host does it all, then clears it.
+/// What the host has to do. It does all of it, then clears it.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     pub send: Vec<(Member, Message)>,
     pub write: Option<Write>,
-    /// The host's state is to be replaced by this one, before `committed`.
+    /// Replaces the host's state, before `committed` is applied.
     pub installed: Option<Arc<Snapshot>>,
-    /// To be applied, in order, without a gap.
+    /// Entries to apply, in order and without gaps.
     pub committed: Vec<Entry>,
-    /// A proposal is committed as this entry, or was not taken.
+    /// Per ticket: the proposal is committed at this index, or was not accepted.
     pub proposed: Vec<(u64, Result<u64, NotLeader>)>,
-    /// A read may be answered once this entry is applied.
+    /// Per ticket: the read may be answered once the entry at this index is applied.
     pub read: Vec<(u64, Result<u64, NotLeader>)>,
-    /// Proposals of which nobody here will know whether they will be committed.
+    /// Tickets of proposals whose outcome this replica will never learn.
     pub lost: Vec<u64>,
     pub wake_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Follows, or learns.
+    /// A follower or a learner.
     Follower,
-    /// Has asked whether it would be voted for.
-    Asking,
+    /// Runs a pre-vote.
+    PreCandidate,
     Candidate,
     Leader,
-    /// The disk refused a write.
-    Out,
+    /// A write to the disk failed.
+    Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    pub heartbeat: Micros,
-    /// Silence of the leader before a member asks for votes: drawn between these.
-    pub election: (Micros, Micros),
-    /// Between tries to be elected.
-    pub retry: (Micros, Micros),
-    /// A leader gives up when a write takes longer.
-    pub disk: Micros,
-    /// Between a stranger's calls.
-    pub hello: Micros,
-    /// A member that is silent for so long gives way to a learner that has caught up.
-    pub gone: Micros,
+    pub heartbeat_interval: Micros,
+    /// Range from which a member draws how long its leader may be silent before it campaigns.
+    pub election_timeout: (Micros, Micros),
+    /// Range from which the time between two campaigns is drawn.
+    pub campaign_retry: (Micros, Micros),
+    /// A leader steps down when a write takes longer.
+    pub disk_write_limit: Micros,
+    /// Time between the join requests of a non-voter.
+    pub join_retry: Micros,
+    /// A member that is silent for this long is replaced by a learner that has caught up.
+    pub replace_after: Micros,
     /// Entries kept before a snapshot.
-    pub tail: u64,
-    /// Bytes of a snapshot in one message: a link of 1 Mbit/s carries them within an election time.
-    pub part: usize,
+    pub log_tail_entries: u64,
+    /// Bytes of a snapshot in one message: a link of 1 Mbit/s carries them within an election timeout.
+    pub snapshot_chunk_bytes: usize,
 }
 
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            heartbeat: 100_000,
-            election: (500_000, 900_000),
-            retry: (120_000, 320_000),
-            disk: 1_500_000,
-            hello: 500_000,
-            gone: 1_500_000,
-            tail: 256,
-            part: if cfg!(test) { 1 << 10 } else { 64 << 10 },
+            heartbeat_interval: 100_000,
+            election_timeout: (500_000, 900_000),
+            campaign_retry: (120_000, 320_000),
+            disk_write_limit: 1_500_000,
+            join_retry: 500_000,
+            replace_after: 1_500_000,
+            log_tail_entries: 256,
+            snapshot_chunk_bytes: if cfg!(test) { 1 << 10 } else { 64 << 10 },
         }
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,37 +1,40 @@
-//! The log in memory, the rosters in it, and what of it is not on disk yet.
+//! The log in memory, the memberships in it, and which part of it isn't on disk yet.
 
-use crate::{Entry, Hard, Payload, Roster, Saved, Snapshot, Write, enough};
+use crate::{Entry, HardState, Membership, Payload, PersistentState, Snapshot, Write, snapshot_threshold};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What is held back for those that are sent an older snapshot; who needs more starts over with a newer one.
-const HELD_BYTES: usize = 16 << 20;
+/// Bytes of entries kept for members that are being sent an older snapshot. If they need more, their transfer starts
+/// over with a newer snapshot.
+const MAX_KEPT_BYTES: usize = 16 << 20;
 
 #[cfg_attr(test, derive(Clone, Hash))]
 pub struct Log {
     pub snapshot: Arc<Snapshot>,
+    /// Index and term of the entry before the first one kept.
     base: (u64, u64),
     entries: VecDeque<Entry>,
-    /// Rosters by the entry that made them: the one of the snapshot, then those after it.
-    rosters: Vec<(u64, Roster)>,
-    /// Entries up to here are on disk.
+    /// Memberships with the index of the entry that introduced them: the snapshot's first, then the later ones.
+    memberships: Vec<(u64, Membership)>,
+    /// Entries up to this index are on disk.
     pub synced: u64,
-    /// What the write under way makes of `synced`.
-    writing: u64,
+    /// The value of `synced` once the write in progress is on disk.
+    synced_after_write: u64,
+    /// Entries from this index on have changed since the last write was taken.
     dirty_from: Option<u64>,
     dirty_snapshot: bool,
     dirty_base: bool,
 }
 
 impl Log {
-    pub fn new(saved: Saved) -> Log {
+    pub fn new(saved: PersistentState) -> Log {
         let mut log = Log {
-            rosters: vec![(saved.snapshot.roster_index, saved.snapshot.roster.clone())],
+            memberships: vec![(saved.snapshot.membership_index, saved.snapshot.membership.clone())],
             snapshot: saved.snapshot,
             base: saved.base,
             entries: VecDeque::with_capacity(saved.entries.len()),
             synced: 0,
-            writing: 0,
+            synced_after_write: 0,
             dirty_from: None,
             dirty_snapshot: false,
             dirty_base: false,
@@ -39,11 +42,11 @@
         for entry in saved.entries {
             log.push(entry);
         }
-        (log.synced, log.dirty_from) = (log.last(), None);
+        (log.synced, log.dirty_from) = (log.last_index(), None);
         log
     }
 
-    pub fn last(&self) -> u64 {
+    pub fn last_index(&self) -> u64 {
         self.base.0 + self.entries.len() as u64
     }
 
@@ -51,7 +54,7 @@
         self.entries.back().map_or(self.base.1, |e| e.term)
     }
 
-    /// The entry before the first one kept.
+    /// The index of the entry before the first one kept.
     pub fn base(&self) -> u64 {
         self.base.0
     }
@@ -65,91 +68,96 @@
         self.entries.get(at as usize)
     }
 
-    /// The roster that counts last, and the entry that made it.
-    pub fn roster(&self) -> (u64, &Roster) {
-        let (index, roster) = self.rosters.last().expect("the snapshot's at least");
-        (*index, roster)
+    /// The latest membership, and the index of the entry that introduced it.
+    pub fn membership(&self) -> (u64, &Membership) {
+        let (index, membership) = self.memberships.last().expect("at least the snapshot's membership");
+        (*index, membership)
     }
 
-    /// The roster before the last one.
-    pub fn before(&self) -> Option<&Roster> {
-        let (index, _) = self.roster();
+    /// The membership before the latest one.
+    pub fn previous_membership(&self) -> Option<&Membership> {
+        let (index, _) = self.membership();
         match self.get(index).map(|e| &e.payload) {
             Some(Payload::Joint { old, .. }) => Some(old),
-            _ => self.rosters.iter().rev().nth(1).map(|(_, roster)| roster),
+            _ => self.memberships.iter().rev().nth(1).map(|(_, membership)| membership),
         }
     }
 
     pub fn push(&mut self, entry: Entry) {
-        debug_assert_eq!(entry.index, self.last() + 1);
-        if let Some(roster) = entry.payload.roster()
+        debug_assert_eq!(entry.index, self.last_index() + 1);
+        if let Some(membership) = entry.payload.membership()
             && entry.index > self.snapshot.index
         {
-            self.rosters.push((entry.index, roster.clone()));
+            self.memberships.push((entry.index, membership.clone()));
         }
         self.dirty_from.get_or_insert(entry.index);
         self.entries.push_back(entry);
     }
 
-    /// Drops entry `from` and all after it.
+    /// Drops entry `from` and all entries after it.
     pub fn truncate(&mut self, from: u64) {
         self.entries.truncate((from - self.base.0 - 1) as usize);
-        self.rosters.retain(|(index, _)| *index < from || *index <= self.snapshot.index);
-        self.dirty(from);
+        self.memberships.retain(|(index, _)| *index < from || *index <= self.snapshot.index);
+        self.mark_dirty(from);
     }
 
-    fn dirty(&mut self, from: u64) {
+    fn mark_dirty(&mut self, from: u64) {
         self.dirty_from = Some(self.dirty_from.map_or(from, |d| d.min(from)));
         self.synced = self.synced.min(from - 1);
-        self.writing = self.writing.min(from - 1);
+        self.synced_after_write = self.synced_after_write.min(from - 1);
     }
 
-    /// Bytes of the entries from `from` to before `to`, or of so many of them that `most` is reached.
-    pub fn bytes(&self, from: u64, to: u64, most: usize) -> usize {
+    /// The bytes of the entries in `from..to`, counted until `limit` is reached.
+    pub fn bytes(&self, from: u64, to: u64, limit: usize) -> usize {
         let mut bytes = 0;
         for index in from.max(self.base.0 + 1)..to {
             bytes += self.get(index).map_or(0, Entry::size);
-            if bytes >= most {
+            if bytes >= limit {
                 break;
             }
         }
         bytes
     }
 
-    /// The host's own snapshot: what is well before it goes. Of the tail no more stays than the snapshot has bytes, or it
-    /// would be dearer to send. What comes after entry `hold` stays while that is bounded.
-    pub fn compact(&mut self, index: u64, data: Vec<u8>, tail: u64, hold: Option<u64>) {
+    /// Takes over the host's snapshot and drops entries well before it. At most `tail` entries before it are kept, and no
+    /// more bytes of them than the snapshot has, or sending them would cost more than the snapshot. Entries after
+    /// `keep_after` are kept, up to [`MAX_KEPT_BYTES`].
+    pub fn compact(&mut self, index: u64, data: Vec<u8>, tail: u64, keep_after: Option<u64>) {
         let Some(term) = self.term(index).filter(|_| index > self.snapshot.index) else { return };
-        let at = self.rosters.iter().rposition(|(i, _)| *i <= index).expect("the snapshot's at least");
-        self.rosters.drain(..at);
-        let (roster_index, roster) = self.rosters[0].clone();
-        self.snapshot = Arc::new(Snapshot { index, term, roster, roster_index, data });
+        let at = self
+            .memberships
+            .iter()
+            .rposition(|(i, _)| *i <= index)
+            .expect("at least the snapshot's membership");
+        self.memberships.drain(..at);
+        let (membership_index, membership) = self.memberships[0].clone();
+        self.snapshot = Arc::new(Snapshot { index, term, membership, membership_index, data });
         self.dirty_snapshot = true;
-        let (mut base, mut room) = (index, enough(self.snapshot.data.len()));
+        let (mut base, mut budget) = (index, snapshot_threshold(self.snapshot.data.len()));
         while base > index.saturating_sub(tail) && base > self.base.0 {
-            let Some(rest) = room.checked_sub(self.get(base).map_or(0, Entry::size)) else { break };
-            (base, room) = (base - 1, rest);
+            let Some(remaining) = budget.checked_sub(self.get(base).map_or(0, Entry::size)) else { break };
+            (base, budget) = (base - 1, remaining);
         }
-        if let Some(hold) = hold.filter(|hold| *hold < base)
-            && self.bytes(hold + 1, base + 1, HELD_BYTES) < HELD_BYTES
+        if let Some(keep_after) = keep_after.filter(|keep_after| *keep_after < base)
+            && self.bytes(keep_after + 1, base + 1, MAX_KEPT_BYTES) < MAX_KEPT_BYTES
         {
-            base = hold;
+            base = keep_after;
         }
         if base > self.base.0 {
-            let term = self.term(base).expect("kept until now");
+            let term = self.term(base).expect("still kept");
             self.entries.drain(..(base - self.base.0) as usize);
             self.base = (base, term);
             self.dirty_base = true;
         }
     }
 
-    /// A leader's snapshot, which reaches further than what is known here.
+    /// Installs a leader's snapshot, which goes beyond what is committed here.
     pub fn install(&mut self, snapshot: Arc<Snapshot>) {
         let (index, term) = (snapshot.index, snapshot.term);
-        let fits = self.term(index) == Some(term);
-        self.rosters.retain(|(i, _)| fits && *i > index);
-        self.rosters.insert(0, (snapshot.roster_index, snapshot.roster.clone()));
-        if fits {
+        let matches = self.term(index) == Some(term);
+        self.memberships.retain(|(i, _)| matches && *i > index);
+        self.memberships.insert(0, (snapshot.membership_index, snapshot.membership.clone()));
+        if matches {
             self.entries.drain(..(index - self.base.0) as usize);
         } else {
             self.entries.clear();
@@ -157,10 +165,10 @@
         self.base = (index, term);
         self.snapshot = snapshot;
         self.dirty_snapshot = true;
-        if !fits {
-            self.dirty(index + 1);
-            // What is on disk is of another log, until the snapshot is there.
-            (self.synced, self.writing) = (0, 0);
+        if !matches {
+            self.mark_dirty(index + 1);
+            // Until the snapshot is written, the disk holds entries of a different log.
+            (self.synced, self.synced_after_write) = (0, 0);
         }
     }
 
@@ -168,8 +176,8 @@
         self.dirty_from.is_some() || self.dirty_snapshot || self.dirty_base
     }
 
-    /// All that is not on disk yet.
-    pub fn write(&mut self, number: u64, hard: Hard) -> Write {
+    /// Takes all that isn't on disk yet as one write.
+    pub fn take_write(&mut self, number: u64, hard: HardState) -> Write {
         let from = self.dirty_from.take().map(|from| from.max(self.base.0 + 1));
         let entries = from.map_or(Vec::new(), |from| {
             let skip = (from - self.base.0 - 1) as usize;
@@ -177,12 +185,12 @@
         });
         let snapshot = std::mem::take(&mut self.dirty_snapshot).then(|| self.snapshot.clone());
         self.dirty_base = false;
-        self.writing = self.last();
-        Write { number, hard, snapshot, base: self.base, from, entries }
+        self.synced_after_write = self.last_index();
+        Write { number, hard, snapshot, base: self.base, truncate_from: from, entries }
     }
 
-    /// The write under way is on disk.
-    pub fn written(&mut self) {
-        self.synced = self.writing;
+    /// The write in progress is on disk.
+    pub fn write_finished(&mut self) {
+        self.synced = self.synced_after_write;
     }
 }
--- a/crates/consensus/src/model.rs
+++ b/crates/consensus/src/model.rs
@@ -7,7 +7,8 @@
 
 use crate::core::Fault;
 use crate::{
-    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Replica, Role, Roster, Saved, Timing, Write,
+    Disk, Entry, Input, Member, Membership, Message, Micros, Output, Payload, PersistentState, Replica, Role,
+    Timing, Write,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -18,14 +19,14 @@
 const NOW: Micros = 100_000_000;
 /// No times are drawn but these.
 const TIMING: Timing = Timing {
-    heartbeat: 100_000,
-    election: (500_000, 500_001),
-    retry: (120_000, 120_001),
-    disk: 1_500_000,
-    hello: 500_000,
-    gone: 1_500_000,
-    tail: 0,
-    part: 1 << 10,
+    heartbeat_interval: 100_000,
+    election_timeout: (500_000, 500_001),
+    campaign_retry: (120_000, 120_001),
+    disk_write_limit: 1_500_000,
+    join_retry: 500_000,
+    replace_after: 1_500_000,
+    log_tail_entries: 0,
+    snapshot_chunk_bytes: 1 << 10,
 };
 /// Disks that were made anew count from here.
 const ANEW: Disk = 100;
@@ -35,7 +36,7 @@
 #[derive(Clone, Hash)]
 struct Node {
     disk: Disk,
-    saved: Saved,
+    saved: PersistentState,
     write: Option<Write>,
     consensus: Replica,
     wake: Micros,
@@ -137,7 +138,7 @@
 }
 
 /// Whether a disk has an entry, as such or within its snapshot.
-fn holds(saved: &Saved, entry: &Entry) -> bool {
+fn holds(saved: &PersistentState, entry: &Entry) -> bool {
     saved.snapshot.index >= entry.index || saved.entries.iter().any(|e| e == entry)
 }
 
@@ -147,7 +148,7 @@
     }
 
     fn with_spares(members: usize, spares: usize, fault: Option<Fault>) -> World {
-        let founding = Saved::founding((0..members).map(member));
+        let founding = PersistentState::founding((0..members).map(member));
         let mut world = World {
             nodes: Vec::new(),
             founders: members,
@@ -158,13 +159,14 @@
             wrong: None,
         };
         let raw = |node| Sum::of(world.node(node, 0, founding.clone()));
-        let spare = |spare| Sum::of(world.node(members + spare, SPARE + spare as Disk, Saved::blank()));
+        let spare =
+            |spare| Sum::of(world.node(members + spare, SPARE + spare as Disk, PersistentState::empty()));
         world.nodes = (0..members).map(raw).chain((0..spares).map(spare)).collect();
         (0..members + spares).for_each(|node| world.seeds(node));
         world
     }
 
-    fn node(&self, node: usize, disk: Disk, saved: Saved) -> Node {
+    fn node(&self, node: usize, disk: Disk, saved: PersistentState) -> Node {
         let mut consensus = Replica::new(member(node), disk, saved.clone(), 0, TIMING, NOW);
         consensus.fault = self.fault;
         let applied = saved.snapshot.index;
@@ -172,7 +174,7 @@
     }
 
     /// A process begins on what the disk holds; what it had asked for before is nobody's any more.
-    fn start(&mut self, n: usize, disk: Disk, saved: Saved) {
+    fn start(&mut self, n: usize, disk: Disk, saved: PersistentState) {
         self.nodes[n] = Sum::of(self.node(n, disk, saved));
         Arc::make_mut(&mut self.judge).reads.retain(|(node, _), _| *node != n);
         self.seeds(n);
@@ -182,7 +184,7 @@
         let seeds = (0..self.nodes.len()).filter(|other| *other != n).map(member).collect();
         self.input(n, NOW, Input::Seeds(seeds));
         if self.nodes.len() > self.founders {
-            self.input(n, NOW, Input::Size(self.founders));
+            self.input(n, NOW, Input::TargetSize(self.founders));
         }
     }
 
@@ -228,7 +230,7 @@
             if left.folds > 0 && node.applied > node.consensus.snapshot().index {
                 steps.push(Step::Fold(n));
             }
-            if left.leaves > 0 && node.consensus.standing() {
+            if left.leaves > 0 && node.consensus.is_voter() {
                 steps.push(Step::Leave(n));
             }
         }
@@ -292,8 +294,10 @@
                 let judge = Arc::make_mut(&mut self.judge);
                 judge.wiped += 1;
                 let (disk, saved) = match self.fault {
-                    Some(Fault::WipedVotes) => (0, Saved::founding((0..self.founders).map(member))),
-                    _ => (ANEW + Disk::from(judge.wiped), Saved::blank()),
+                    Some(Fault::WipedDiskVotes) => {
+                        (0, PersistentState::founding((0..self.founders).map(member)))
+                    }
+                    _ => (ANEW + Disk::from(judge.wiped), PersistentState::empty()),
                 };
                 self.start(n, disk, saved);
             }
@@ -304,7 +308,7 @@
             }
             Step::Leave(n) => {
                 self.left.leaves -= 1;
-                self.input(n, NOW, Input::Yield);
+                self.input(n, NOW, Input::PrepareToStop);
             }
         }
         self.check_disks();
@@ -366,7 +370,7 @@
             }
         }
         for (to, message) in out.send {
-            if let Message::Vote { pre: false, granted: true, term, .. } = message
+            if let Message::VoteResponse { pre_vote: false, granted: true, term, .. } = message
                 && *judge.votes.entry((n, node.disk, term)).or_insert(to) != to
             {
                 self.wrong(format!("{n} votes twice in term {term}"));
@@ -391,13 +395,13 @@
         if self.judge.wiped > 0 {
             return;
         }
-        let made = self.judge.committed.iter().rev().find_map(|e| e.payload.roster().cloned());
-        let founders = || Roster { members: (0..self.founders).map(|n| (member(n), 0)).collect() };
-        let roster = made.unwrap_or_else(founders);
-        let named = |(n, node): &(usize, &Sum<Node>)| roster.names(member(*n), node.1.disk);
+        let made = self.judge.committed.iter().rev().find_map(|e| e.payload.membership().cloned());
+        let founders = || Membership { members: (0..self.founders).map(|n| (member(n), 0)).collect() };
+        let membership = made.unwrap_or_else(founders);
+        let named = |(n, node): &(usize, &Sum<Node>)| membership.contains(member(*n), node.1.disk);
         let lacking = self.judge.committed.iter().find(|entry| {
             let members = self.nodes.iter().enumerate().filter(named);
-            members.filter(|(_, n)| holds(&n.1.saved, entry)).count() <= roster.members.len() / 2
+            members.filter(|(_, n)| holds(&n.1.saved, entry)).count() <= membership.members.len() / 2
         });
         if let Some(index) = lacking.map(|e| e.index) {
             self.wrong(format!("entry {index} counts and is on no majority's disks"));
@@ -442,7 +446,7 @@
     /// Hears of no leader for longer than binds it.
     fn waits(&mut self, n: usize) {
         let mut node = (*self.nodes[n].1).clone();
-        let by = TIMING.election.0 - 1;
+        let by = TIMING.election_timeout.0 - 1;
         node.consensus.rebase(by);
         node.wake -= by;
         self.nodes[n] = Sum::of(node);
@@ -498,7 +502,10 @@
         world.step(Step::Time(1));
         world.left = Left::default();
         let first = |p: &Sum<Packet>| {
-            matches!(p.1.message, Message::Ask { pre: true, .. } | Message::Vote { pre: true, .. })
+            matches!(
+                p.1.message,
+                Message::RequestVote { pre_vote: true, .. } | Message::VoteResponse { pre_vote: true, .. }
+            )
         };
         loop {
             if let Some(i) = world.net.iter().position(first) {
@@ -517,7 +524,7 @@
         let (last, all) = (members - 1, (0..members).collect::<Vec<usize>>());
         world.left.beats = 1;
         world.step(Step::Time(0));
-        let part = |p: &Sum<Packet>| p.1.to == last && matches!(p.1.message, Message::Part { .. });
+        let part = |p: &Sum<Packet>| p.1.to == last && matches!(p.1.message, Message::SnapshotChunk { .. });
         let between = |p: &Sum<Packet>| [0, last].contains(&p.1.to) && [0, last].contains(&p.1.from);
         let late = loop {
             match world.net.iter().find(|p| part(p)) {
@@ -556,7 +563,7 @@
         self.left.leaves = 1;
         self.step(Step::Leave(n));
         if n != 0 {
-            let leave = |p: &Sum<Packet>| p.1.to == 0 && matches!(p.1.message, Message::Leave { .. });
+            let leave = |p: &Sum<Packet>| p.1.to == 0 && matches!(p.1.message, Message::Leaving { .. });
             let i = self.net.iter().position(leave).expect("it says so");
             self.step(Step::Deliver(i));
         }
@@ -625,7 +632,7 @@
         world.says_leaving(members - 1);
         world.calm(&others);
         world.times(0, &others);
-        assert!(world.nodes[members].1.consensus.standing() && world.judge.committed.len() == 2);
+        assert!(world.nodes[members].1.consensus.is_voter() && world.judge.committed.len() == 2);
         (1..=members).for_each(|n| world.waits(n));
         world
     }
@@ -638,7 +645,7 @@
         world.times(0, &[0, members + 1]);
         world.waits(lags);
         world.says_leaving(lags);
-        assert!(world.nodes[0].1.consensus.roster().members.contains_key(&member(members + 1)));
+        assert!(world.nodes[0].1.consensus.membership().members.contains_key(&member(members + 1)));
         world
     }
 
@@ -677,8 +684,11 @@
         self.step(Step::Time(n));
         self.left = Left::default();
         let first = |p: &Sum<Packet>| {
-            let pre = matches!(p.1.message, Message::Ask { pre: true, .. } | Message::Vote { pre: true, .. });
-            pre && among.contains(&p.1.to) && among.contains(&p.1.from)
+            let pre_vote = matches!(
+                p.1.message,
+                Message::RequestVote { pre_vote: true, .. } | Message::VoteResponse { pre_vote: true, .. }
+            );
+            pre_vote && among.contains(&p.1.to) && among.contains(&p.1.from)
         };
         while let Some(i) = self.net.iter().position(first) {
             self.step(Step::Deliver(i));
@@ -714,7 +724,7 @@
     terms: usize,
     committed: usize,
     reads: usize,
-    rosters: usize,
+    memberships: usize,
     /// The first that is wrong, by the shortest way.
     wrong: Option<String>,
 }
@@ -766,8 +776,8 @@
             found.terms = found.terms.max(world.judge.leaders.len());
             found.committed = found.committed.max(world.judge.committed.len());
             found.reads = found.reads.max(world.judge.answered as usize);
-            let rosters = world.judge.committed.iter().filter(|e| e.payload.roster().is_some());
-            found.rosters = found.rosters.max(rosters.count());
+            let memberships = world.judge.committed.iter().filter(|e| e.payload.membership().is_some());
+            found.memberships = found.memberships.max(memberships.count());
             level.push((way, world));
         }
         (found.states, found.levels, found.whole) = (ways.len(), at, level.is_empty());
@@ -870,15 +880,15 @@
     let faults: [(Fault, Start, Left, usize); 11] = [
         (Fault::AckBeforeSync, World::led, ends, 6),
         (Fault::ForgetVote, World::rivals, ends, 8),
-        (Fault::WipedVotes, World::parted, Left { wipes: 1, ..once }, 13),
+        (Fault::WipedDiskVotes, World::parted, Left { wipes: 1, ..once }, 13),
         (Fault::ReadUnconfirmed, World::succeeded, Left { reads: 1, ..QUIET }, 2),
-        (Fault::SnapshotOverTail, World::belated, QUIET, 2),
-        (Fault::SwapWithoutJoint, near_asks, QUIET, 14),
-        (Fault::CountNewcomerEarly, |m, f| World::half_swapped(m, f).far_asks(), QUIET, 14),
-        (Fault::LeaverDroppedEarly, World::swapping, QUIET, 8),
-        (Fault::SecondChangeEarly, |m, f| World::half_swapped_twice(m, f).far_asks(), QUIET, 14),
-        (Fault::RemovedVotes, |m, f| World::swapped_and_parted(m, f).far_asks(), QUIET, 14),
-        (Fault::RosterLost, |m, f| World::swapped_and_folded(m, f).far_asks(), QUIET, 14),
+        (Fault::StaleSnapshotInstalled, World::belated, QUIET, 2),
+        (Fault::ElectWithoutJoint, near_asks, QUIET, 14),
+        (Fault::CommitWithoutJoint, |m, f| World::half_swapped(m, f).far_asks(), QUIET, 14),
+        (Fault::NewMemberCountsAsUpToDate, World::swapping, QUIET, 8),
+        (Fault::OverlappingChanges, |m, f| World::half_swapped_twice(m, f).far_asks(), QUIET, 14),
+        (Fault::PreviousMembershipElects, |m, f| World::swapped_and_parted(m, f).far_asks(), QUIET, 14),
+        (Fault::SnapshotMembershipLost, |m, f| World::swapped_and_folded(m, f).far_asks(), QUIET, 14),
     ];
     for members in [3, 5] {
         for (fault, start, left, depth) in faults {
