--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -2,8 +2,8 @@
 
 use crate::core::Fault;
 use crate::{
-    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Replica, Role, Saved, Timing, Write,
-    decode, encode,
+    Disk, Entry, Input, Member, Message, Micros, Output, Payload, PersistentState, Replica, Role, Timing,
+    Write, decode, encode,
 };
 use fastrand::Rng;
 use std::cmp::Reverse;
@@ -58,7 +58,7 @@
     /// Counts starts and ends, so that what was meant for an earlier run goes nowhere.
     life: u64,
     disk: Disk,
-    saved: Saved,
+    saved: PersistentState,
     consensus: Option<Replica>,
     write: Option<(Write, bool)>,
     hung: bool,
@@ -66,7 +66,7 @@
     /// How far its clock is ahead: a machine that slept, a clock that jumped.
     ahead: Micros,
     /// A copy of the disk from some time ago, and whose it was.
-    copy: (Disk, Saved),
+    copy: (Disk, PersistentState),
     applied: u64,
     state: Vec<u64>,
     wake: Micros,
@@ -124,7 +124,7 @@
     /// Old copies of disks put back.
     copies: usize,
     installed: usize,
-    rosters: usize,
+    memberships: usize,
 }
 
 fn member(node: usize) -> Member {
@@ -132,7 +132,7 @@
 }
 
 impl Node {
-    fn new(disk: Disk, saved: Saved) -> Node {
+    fn new(disk: Disk, saved: PersistentState) -> Node {
         Node {
             life: 0,
             disk,
@@ -142,7 +142,7 @@
             hung: false,
             sync: (MS, 3 * MS),
             ahead: 0,
-            copy: (0, Saved::blank()),
+            copy: (0, PersistentState::empty()),
             applied: 0,
             state: Vec::new(),
             wake: Micros::MAX,
@@ -155,10 +155,20 @@
         let mut rng = Rng::with_seed(seed);
         let (founders, extra) = [(3, 0), (3, 0), (3, 1), (5, 0), (3, 2)][rng.usize(..5)];
         let timing = match rng.u8(..4) {
-            0 => Timing { tail: 8, ..Timing::default() },
-            1 => Timing { tail: 5, election: (150 * MS, 800 * MS), heartbeat: 50 * MS, ..Timing::default() },
-            2 => Timing { tail: 3, election: (300 * MS, 340 * MS), ..Timing::default() },
-            _ => Timing { tail: 20, election: (200 * MS, 210 * MS), heartbeat: 50 * MS, ..Timing::default() },
+            0 => Timing { log_tail_entries: 8, ..Timing::default() },
+            1 => Timing {
+                log_tail_entries: 5,
+                election_timeout: (150 * MS, 800 * MS),
+                heartbeat_interval: 50 * MS,
+                ..Timing::default()
+            },
+            2 => Timing { log_tail_entries: 3, election_timeout: (300 * MS, 340 * MS), ..Timing::default() },
+            _ => Timing {
+                log_tail_entries: 20,
+                election_timeout: (200 * MS, 210 * MS),
+                heartbeat_interval: 50 * MS,
+                ..Timing::default()
+            },
         };
         let jumpy = rng.bool();
         let mut sim = Sim {
@@ -189,7 +199,7 @@
         for node in 0..founders + extra {
             let founder = node < founders;
             let disk = if founder { 0 } else { FIRST + node as u64 };
-            let saved = if founder { sim.founding() } else { Saved::blank() };
+            let saved = if founder { sim.founding() } else { PersistentState::empty() };
             sim.nodes.push(Node::new(disk, saved));
             let at = sim.rng.u64(..if founder { 50 } else { 3000 }) * MS;
             sim.at(at, Event::Start { node, life: 0 });
@@ -199,8 +209,8 @@
         sim
     }
 
-    fn founding(&self) -> Saved {
-        Saved::founding((0..self.founders).map(member))
+    fn founding(&self) -> PersistentState {
+        PersistentState::founding((0..self.founders).map(member))
     }
 
     fn at(&mut self, at: Micros, event: Event) {
@@ -274,7 +284,10 @@
         if n.life != life || n.consensus.is_some() {
             return;
         }
-        if n.saved == Saved::blank() && self.fault == Some(Fault::WipedVotes) && node < self.founders {
+        if n.saved == PersistentState::empty()
+            && self.fault == Some(Fault::WipedDiskVotes)
+            && node < self.founders
+        {
             (n.saved, n.disk) = (founding, 0);
         }
         n.life += 1;
@@ -287,7 +300,7 @@
         let seeds = self.seeds.clone().unwrap_or_else(|| (0..self.founders).collect());
         self.input(node, Input::Seeds(seeds.into_iter().map(member).collect()));
         if let Some(size) = self.size {
-            self.input(node, Input::Size(size));
+            self.input(node, Input::TargetSize(size));
         }
     }
 
@@ -318,12 +331,12 @@
         // One that has never been of the group may come at any time; one that a roster names counts
         // as down until it stands and has that on disk.
         let named = |at: usize, disk: Disk| {
-            let rosters = self.nodes.iter().filter_map(|n| n.consensus.as_ref()).map(Replica::roster);
-            rosters.filter(|r| r.names(member(at), disk)).count() > 0
+            let memberships = self.nodes.iter().filter_map(|n| n.consensus.as_ref()).map(Replica::membership);
+            memberships.filter(|r| r.contains(member(at), disk)).count() > 0
         };
         let well = |(at, n): (usize, &Node)| {
             let never = (FIRST..FIRST + 10).contains(&n.disk) && !named(at, n.disk);
-            never || n.saved.hard.standing && n.consensus.as_ref().is_some_and(|r| r.role() != Role::Out)
+            never || n.saved.hard.voter && n.consensus.as_ref().is_some_and(|r| r.role() != Role::Failed)
         };
         if !self.nodes.iter().enumerate().all(well) || !named(node, self.nodes[node].disk) {
             return;
@@ -332,7 +345,7 @@
         self.seen.wiped += 1;
         let disk = self.rng.u64(2000..);
         let n = &mut self.nodes[node];
-        (n.saved, n.disk) = (Saved::blank(), disk);
+        (n.saved, n.disk) = (PersistentState::empty(), disk);
     }
 
     /// Its disk gives way to an old copy of one that this machine had, if the group can bear the loss of the disk.
@@ -344,18 +357,18 @@
             return;
         }
         let (disk, copy) = n.copy.clone();
-        self.seen.copies += usize::from(copy != Saved::blank());
+        self.seen.copies += usize::from(copy != PersistentState::empty());
         if self.fault == Some(Fault::OldCopyVotes) {
-            if copy != Saved::blank() {
+            if copy != PersistentState::empty() {
                 (n.disk, n.saved) = (disk, copy);
             }
         } else {
-            n.saved = copy.stranger();
+            n.saved = copy.into_non_voter();
         }
     }
 
     fn input(&mut self, node: usize, input: Input) {
-        let tail = self.timing.tail;
+        let tail = self.timing.log_tail_entries;
         let mut out = Output::default();
         let n = &mut self.nodes[node];
         let now = self.now + n.ahead;
@@ -385,7 +398,7 @@
             n.applied = entry.index;
             n.state.extend(values(std::iter::once(&entry)));
             keep |= entry.index % (tail + 17) == 0;
-            self.seen.rosters += usize::from(entry.payload.roster().is_some());
+            self.seen.memberships += usize::from(entry.payload.membership().is_some());
             let index = entry.index;
             let first = self.judge.committed.entry(index).or_insert_with(|| entry.clone());
             if *first != entry {
@@ -430,7 +443,7 @@
         }
         let mut voted = false;
         for (to, message) in out.send {
-            voted |= matches!(message, Message::Vote { pre: false, granted: true, .. });
+            voted |= matches!(message, Message::VoteResponse { pre_vote: false, granted: true, .. });
             self.send(node, to, disk, &message);
         }
         if voted && self.jumpy && !self.calm && self.rng.bool() {
@@ -451,7 +464,8 @@
         if rough && self.rng.u8(..10) == 0 {
             return;
         }
-        let asks = self.jumpy && !self.calm && matches!(message, Message::Ask { pre: false, .. });
+        let asks =
+            self.jumpy && !self.calm && matches!(message, Message::RequestVote { pre_vote: false, .. });
         let copies = if asks { 3 } else { 1 + u8::from(rough && self.rng.u8(..8) == 0) };
         for _ in 0..copies {
             let late = rough && self.rng.u8(..6) == 0;
@@ -570,7 +584,7 @@
                     self.restart(node, 100 * MS, 1000 * MS);
                 }
             }
-            12 => self.input(node, Input::Yield),
+            12 => self.input(node, Input::PrepareToStop),
             13 | 14 => {
                 // A leader is cut off; while it does not know yet, one that elected its successor loses its
                 // disk.
@@ -625,7 +639,7 @@
         self.cuts.clear();
         for node in 0..self.nodes.len() {
             self.step(Event::Thaw { node });
-            let out = self.nodes[node].consensus.as_ref().is_none_or(|r| r.role() == Role::Out);
+            let out = self.nodes[node].consensus.as_ref().is_none_or(|r| r.role() == Role::Failed);
             if out {
                 self.restart(node, 0, 10 * MS);
             }
@@ -649,7 +663,7 @@
         let state = &self.nodes[0].state;
         for (at, node) in self.nodes.iter().enumerate() {
             let consensus = node.consensus.as_ref().expect("all run");
-            if !consensus.standing() || !consensus.roster().names(member(at), node.disk) {
+            if !consensus.is_voter() || !consensus.membership().contains(member(at), node.disk) {
                 wrong(format!("node {at} does not stand"));
             }
             if node.state != *state {
@@ -745,7 +759,7 @@
                 sum.wiped += seen.wiped;
                 sum.copies += seen.copies;
                 sum.installed += seen.installed;
-                sum.rosters += seen.rosters;
+                sum.memberships += seen.memberships;
             }
             Err(e) => wrong.push((seed, e)),
         }
@@ -760,7 +774,7 @@
         ("wiped", sum.wiped),
         ("copies", sum.copies),
         ("installed", sum.installed),
-        ("rosters", sum.rosters),
+        ("memberships", sum.memberships),
     ] {
         assert!(count > 100, "only {count} {what}");
     }
@@ -771,9 +785,9 @@
 fn planted_faults_are_seen() {
     for fault in [
         Fault::AckBeforeSync,
-        Fault::WipedVotes,
+        Fault::WipedDiskVotes,
         Fault::OldCopyVotes,
-        Fault::CountNewcomerEarly,
+        Fault::CommitWithoutJoint,
         Fault::ForgetVote,
         Fault::ReadUnconfirmed,
     ] {
--- a/crates/consensus/src/sim/catching_up.rs
+++ b/crates/consensus/src/sim/catching_up.rs
@@ -3,8 +3,8 @@
 
 use crate::core::Fault;
 use crate::{
-    Disk, Entry, Input, Member, Message, Micros, Output, Payload, Replica, Role, Roster, Saved, Timing,
-    Write, encode,
+    Disk, Entry, Input, Member, Membership, Message, Micros, Output, Payload, PersistentState, Replica, Role,
+    Timing, Write, encode,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -26,7 +26,7 @@
 struct Node {
     life: u64,
     disk: Disk,
-    saved: Saved,
+    saved: PersistentState,
     consensus: Option<Replica>,
     write: Option<Write>,
     wake: Micros,
@@ -127,7 +127,7 @@
             wrong: None,
         };
         for node in 0..members {
-            world.add(0, Saved::founding((0..members).map(member)));
+            world.add(0, PersistentState::founding((0..members).map(member)));
             world.start(node);
         }
         world.at(0, Event::Client);
@@ -136,7 +136,7 @@
         world
     }
 
-    fn add(&mut self, disk: Disk, saved: Saved) -> usize {
+    fn add(&mut self, disk: Disk, saved: PersistentState) -> usize {
         let (consensus, write, wake) = (None, None, Micros::MAX);
         let (life, applied, since, syncs, least, leads) = (0, 0, (0, 0), 0, 0, false);
         let node = Node { life, disk, saved, consensus, write, wake, applied, since, syncs, least, leads };
@@ -205,7 +205,11 @@
                 n.wake = Micros::MAX;
                 (n.applied, n.since) = (n.saved.snapshot.index, (0, 0));
                 (n.least, n.leads) = (self.acked, false);
-                let timing = Timing { tail: self.terms.tail, part: 64 << 10, ..Timing::default() };
+                let timing = Timing {
+                    log_tail_entries: self.terms.tail,
+                    snapshot_chunk_bytes: 64 << 10,
+                    ..Timing::default()
+                };
                 let seed = node as u64 + 7 * n.life;
                 let mut consensus =
                     Replica::new(member(node), n.disk, n.saved.clone(), seed, timing, self.now);
@@ -242,9 +246,9 @@
             if snapshot.data != state(snapshot.index, by.unwrap_or_default(), self.terms.state) {
                 self.wrong = Some(format!("node {node}: snapshot {} is not what was made", snapshot.index));
             }
-            if snapshot.roster != self.rosters(snapshot.index) {
+            if snapshot.membership != self.memberships(snapshot.index) {
                 self.wrong =
-                    Some(format!("node {node} takes another roster with snapshot {}", snapshot.index));
+                    Some(format!("node {node} takes another membership with snapshot {}", snapshot.index));
             }
             if snapshot.index < self.nodes[node].applied {
                 self.wrong = Some(format!("node {node} goes back to {}", snapshot.index));
@@ -287,7 +291,7 @@
         self.check_fresh(node);
         // As a store does it.
         let n = &self.nodes[node];
-        if n.since.0 >= 256 || n.since.1 >= 4 * crate::enough(self.terms.state) {
+        if n.since.0 >= 256 || n.since.1 >= 4 * crate::snapshot_threshold(self.terms.state) {
             let index = n.applied;
             self.nodes[node].since = (0, 0);
             self.input(node, Input::Snapshot { index, data: state(index, node as u64, self.terms.state) });
@@ -295,10 +299,12 @@
     }
 
     /// The roster that counts after entry `index`.
-    fn rosters(&self, index: u64) -> Roster {
-        let founders = Roster { members: (0..3).map(|n| (member(n), 0)).collect() };
+    fn memberships(&self, index: u64) -> Membership {
+        let founders = Membership { members: (0..3).map(|n| (member(n), 0)).collect() };
         let made = self.committed.range(..=index).rev().find_map(|(_, e)| match &e.payload {
-            Payload::Roster(roster) | Payload::Joint { new: roster, .. } => Some(roster.clone()),
+            Payload::Membership(membership) | Payload::Joint { new: membership, .. } => {
+                Some(membership.clone())
+            }
             _ => None,
         });
         made.unwrap_or(founders)
@@ -306,11 +312,11 @@
 
     /// What is acknowledged is on disk.
     fn check_ack(&mut self, node: usize, message: &Message) {
-        let there = self.nodes[node].saved.last();
-        if let Message::Ack { fits: true, matched, .. } = message
-            && *matched > there
+        let there = self.nodes[node].saved.last_index();
+        if let Message::AppendResponse { success: true, match_index, .. } = message
+            && *match_index > there
         {
-            self.wrong = Some(format!("node {node} acknowledges {matched}, its disk has {there}"));
+            self.wrong = Some(format!("node {node} acknowledges {match_index}, its disk has {there}"));
         }
     }
 
@@ -323,12 +329,13 @@
             n.least = acked;
         }
         n.leads = leads;
-        let fresh = r.leader().is_some() && r.standing() && r.knows() && n.applied >= r.told();
+        let fresh =
+            r.leader().is_some() && r.is_voter() && r.knows_leader_commit() && n.applied >= r.leader_commit();
         if fresh && n.applied < n.least {
             self.wrong =
                 Some(format!("node {node} says fresh at {}, {} was acknowledged", n.applied, n.least));
         }
-        if r.standing() && r.roster().members.is_empty() {
+        if r.is_voter() && r.membership().members.is_empty() {
             self.wrong = Some(format!("node {node} stands and knows no group"));
         }
     }
@@ -400,7 +407,7 @@
     fn level(&self, node: usize) -> bool {
         let Some(consensus) = &self.nodes[node].consensus else { return false };
         let top = self.committed.last_key_value().map_or(0, |(index, _)| *index);
-        consensus.standing() && self.nodes[node].applied + 16 >= top && consensus.leader().is_some()
+        consensus.is_voter() && self.nodes[node].applied + 16 >= top && consensus.leader().is_some()
     }
 }
 
@@ -426,7 +433,7 @@
     let node = (leader + 1) % 3;
     w.end(node, false);
     w.nodes[node].disk = 4711;
-    w.nodes[node].saved = Saved::blank();
+    w.nodes[node].saved = PersistentState::empty();
     (w.terms.mbps, w.quiet) = (terms.mbps, false);
     let before = w.carried(node);
     w.start(node);
@@ -446,7 +453,7 @@
             let (ms, bytes) =
                 returns(changes, terms).unwrap_or_else(|e| panic!("{state} {entry} {changes}: {e}"));
             // The snapshot, what may come after it before the next one is made, and the tail before it.
-            let most = state as u64 + 5 * crate::enough(state) as u64 + 20_000;
+            let most = state as u64 + 5 * crate::snapshot_threshold(state) as u64 + 20_000;
             assert!(bytes < most, "{state} {entry} {changes}: {bytes} bytes");
             assert!(ms < 1000 + most * 8 / 4000, "{state} {entry} {changes}: {ms} ms");
         }
@@ -463,7 +470,7 @@
         assert!(bytes < terms.state as u64 * 3 / 2, "{bytes} bytes");
     }
     let faulty = Terms { mbps: 1.0, ..LARGE };
-    let e = joins(faulty, Some(Fault::TransferStartsOver), 60 * SECOND).err().expect("never");
+    let e = joins(faulty, Some(Fault::TransferRestarts), 60 * SECOND).err().expect("never");
     assert!(e.contains("not within"), "{e}");
 }
 
@@ -512,20 +519,26 @@
 fn parts_that_are_lost_doubled_or_overtaken_harm_nothing() {
     let lots: [Lot; 4] = [
         |m, n| match m {
-            Message::Part { .. } if n % 3 == 0 => Luck::Lost,
+            Message::SnapshotChunk { .. } if n % 3 == 0 => Luck::Lost,
             _ => Luck::Well,
         },
         |m, n| match m {
-            Message::Part { .. } | Message::Got { .. } if n % 2 == 0 => Luck::Twice,
+            Message::SnapshotChunk { .. } | Message::SnapshotChunkResponse { .. } if n % 2 == 0 => {
+                Luck::Twice
+            }
             _ => Luck::Well,
         },
         |m, n| match m {
-            Message::Part { .. } | Message::Ack { .. } if n % 5 == 0 => Luck::Late(700 * MS),
+            Message::SnapshotChunk { .. } | Message::AppendResponse { .. } if n % 5 == 0 => {
+                Luck::Late(700 * MS)
+            }
             _ => Luck::Well,
         },
         |m, n| match m {
-            Message::Got { .. } if n % 2 == 0 => Luck::Lost,
-            Message::Append { .. } | Message::Part { .. } if n % 7 == 0 => Luck::Late(300 * MS),
+            Message::SnapshotChunkResponse { .. } if n % 2 == 0 => Luck::Lost,
+            Message::AppendEntries { .. } | Message::SnapshotChunk { .. } if n % 7 == 0 => {
+                Luck::Late(300 * MS)
+            }
             _ => Luck::Well,
         },
     ];
@@ -554,7 +567,7 @@
 #[test]
 fn a_transfer_survives_its_leader_and_never_mixes_two_snapshots() {
     changes_hands(None).expect("level");
-    let e = changes_hands(Some(Fault::PartOfAnother)).expect_err("seen");
+    let e = changes_hands(Some(Fault::ChunksMixed)).expect_err("seen");
     assert!(e.contains("is not what was made"), "{e}");
 }
 
@@ -569,18 +582,18 @@
         let (node, other) = ((leader + 1) % 5, (leader + 2) % 5);
         w.end(node, false);
         w.end(other, false);
-        (w.nodes[other].disk, w.nodes[other].saved) = (4711, Saved::blank());
+        (w.nodes[other].disk, w.nodes[other].saved) = (4711, PersistentState::empty());
         w.start(other);
         w.until(20 * SECOND, |w| w.level(other))?;
         w.change(600);
         w.start(node);
         w.until(20 * SECOND, |w| w.level(node))?;
         let consensus = w.nodes[node].consensus.as_ref().expect("runs");
-        Ok(consensus.roster().names(member(other), 4711))
+        Ok(consensus.membership().contains(member(other), 4711))
     };
     assert_eq!(replaced(None), Ok(true));
-    let e: String = replaced(Some(Fault::RosterLost)).expect_err("seen");
-    assert!(e.contains("takes another roster"), "{e}");
+    let e: String = replaced(Some(Fault::SnapshotMembershipLost)).expect_err("seen");
+    assert!(e.contains("takes another membership"), "{e}");
 }
 
 /// Its power is lost at each of its syncs in turn, from its start until it is level, and in the middle of the transfer.
@@ -632,7 +645,7 @@
         Ok(())
     };
     restarted(None).expect("level");
-    let e: String = restarted(Some(Fault::FreshByParts)).expect_err("seen");
+    let e: String = restarted(Some(Fault::FreshFromChunks)).expect_err("seen");
     assert!(e.contains("says fresh at"), "{e}");
     // One that begins to lead holds all, and knows of none of it that it counts, until an entry of its own does.
     let followed = |fault| {
@@ -647,7 +660,7 @@
         Ok(())
     };
     followed(None).expect("goes on");
-    let e: String = followed(Some(Fault::FreshByParts)).expect_err("seen");
+    let e: String = followed(Some(Fault::FreshFromChunks)).expect_err("seen");
     assert!(e.contains("says fresh at"), "{e}");
 }
 
--- a/crates/consensus/src/sim/members.rs
+++ b/crates/consensus/src/sim/members.rs
@@ -3,7 +3,7 @@
 
 use super::{Event, MS, Node, Sim, quiet_group};
 use crate::core::Fault;
-use crate::{Micros, Replica, Role, Saved};
+use crate::{Micros, PersistentState, Replica, Role};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// A newcomer, or one that is back with an empty disk, counts as lost for so long.
@@ -20,7 +20,7 @@
     fn group(seed: u64, members: usize, fault: Option<Fault>) -> Sim {
         let (mut sim, _) = quiet_group(seed, members);
         (sim.fault, sim.size) = (fault, Some(members));
-        sim.timing.tail = 40;
+        sim.timing.log_tail_entries = 40;
         for node in 0..members {
             // Again, with the fault, the size and the shorter log.
             sim.restart(node, 0, 5 * MS);
@@ -36,7 +36,7 @@
     /// A machine at an address that nobody has had, told of those that are up now.
     fn newcomer(&mut self, at: Micros) -> usize {
         let disk = self.rng.u64(2000..);
-        self.nodes.push(Node::new(disk, Saved::blank()));
+        self.nodes.push(Node::new(disk, PersistentState::empty()));
         let node = self.nodes.len() - 1;
         self.seeds = Some(self.live());
         self.at(at, Event::Start { node, life: 0 });
@@ -44,7 +44,7 @@
     }
 
     fn stop(&mut self, node: usize) {
-        self.input(node, crate::Input::Yield);
+        self.input(node, crate::Input::PrepareToStop);
         let life = self.nodes[node].life;
         self.at(self.now + STOP, Event::Stopping { node, life, until: self.now + STOP_LATEST });
     }
@@ -64,7 +64,7 @@
     /// The leader, or any that votes.
     fn voter(&mut self) -> usize {
         let leader = self.leader();
-        let votes = |n: &usize| self.nodes[*n].consensus.as_ref().is_some_and(Replica::standing);
+        let votes = |n: &usize| self.nodes[*n].consensus.as_ref().is_some_and(Replica::is_voter);
         let voters: Vec<usize> = self.live().into_iter().filter(votes).collect();
         match leader {
             Some(leader) if self.rng.bool() => leader,
@@ -78,11 +78,11 @@
         let consensus = self.nodes[leader].consensus.as_ref().expect("leads");
         let knows = |n: &usize| {
             let n = &self.nodes[*n];
-            n.saved.hard.standing && n.saved.roster() == consensus.roster()
+            n.saved.hard.voter && n.saved.membership() == consensus.membership()
         };
-        let named = |n: &usize| consensus.roster().names(super::member(*n), self.nodes[*n].disk);
+        let named = |n: &usize| consensus.membership().contains(super::member(*n), self.nodes[*n].disk);
         let members: Vec<usize> = self.live().into_iter().filter(named).collect();
-        members.len() == consensus.roster().members.len() && members.iter().all(knows)
+        members.len() == consensus.membership().members.len() && members.iter().all(knows)
     }
 
     /// One machine goes for good or is told to, and another takes its place; when that one started.
@@ -114,7 +114,7 @@
                 self.restart(node, 5 * MS, 500 * MS);
                 let disk = self.rng.u64(2000..);
                 let n = &mut self.nodes[node];
-                (n.saved, n.disk) = (Saved::blank(), disk);
+                (n.saved, n.disk) = (PersistentState::empty(), disk);
                 "wipe"
             }
             3 => {
@@ -179,8 +179,9 @@
         let loss = sim.one_loss();
         let time = sim.until_acked();
         let what = |sim: &Sim| {
-            let stands =
-                |n: &Node| n.consensus.as_ref().map(|r| (r.role(), r.standing(), r.last(), r.commit()));
+            let stands = |n: &Node| {
+                n.consensus.as_ref().map(|r| (r.role(), r.is_voter(), r.last_index(), r.commit_index()))
+            };
             let nodes: Vec<_> = sim.nodes.iter().map(stands).collect();
             format!(
                 "round {round}, {gone} replaced, planned {planned}, then {loss}, at {}: {nodes:?}",
@@ -198,7 +199,7 @@
         sim.cuts.clear();
         sim.run(sim.now + 3000 * MS + SYNC);
         let out = sim.live().into_iter().filter(|n| {
-            sim.nodes[*n].consensus.as_ref().is_some_and(|r| r.role() == Role::Out || !r.standing())
+            sim.nodes[*n].consensus.as_ref().is_some_and(|r| r.role() == Role::Failed || !r.is_voter())
         });
         // Spares go, so that the group stays small.
         for node in out.collect::<Vec<_>>() {
@@ -269,7 +270,7 @@
                 let gone = sim.live()[0];
                 let (newcomer, start) = sim.replace(gone, turn % 2 == 0);
                 sim.run(start + SYNC);
-                let named = |n: usize| sim.nodes[n].consensus.as_ref().is_some_and(Replica::standing);
+                let named = |n: usize| sim.nodes[n].consensus.as_ref().is_some_and(Replica::is_voter);
                 if !named(newcomer) || !sim.whole() || sim.live().len() != members {
                     return Err(format!("turn {turn}: {newcomer} is not a member for {gone}"));
                 }
@@ -297,7 +298,7 @@
             (sim.nodes[node].applied, sim.nodes[node].state) = (0, Vec::new());
         }
         (sim.judge, sim.pad) = (super::Judge::default(), 2000);
-        (sim.timing.tail, sim.timing.part) = (256, 64 << 10);
+        (sim.timing.log_tail_entries, sim.timing.snapshot_chunk_bytes) = (256, 64 << 10);
         for node in 0..3 {
             let life = sim.nodes[node].life;
             sim.at(sim.now + 1, Event::Start { node, life });
@@ -318,7 +319,7 @@
     let end = start + 60_000 * MS;
     let out = |sim: &Sim| {
         let leader = sim.leader().and_then(|l| sim.nodes[l].consensus.as_ref());
-        leader.is_some_and(|r| !r.roster().members.contains_key(&super::member(gone)))
+        leader.is_some_and(|r| !r.membership().members.contains_key(&super::member(gone)))
     };
     while !(out(&sim) && sim.whole()) && sim.now < end && sim.wrong.is_none() {
         sim.run(sim.now + 5 * MS);
--- a/crates/consensus/src/sim/power.rs
+++ b/crates/consensus/src/sim/power.rs
@@ -2,7 +2,7 @@
 //! faults beside it.
 
 use super::{Event, MS, Sim, quiet_group};
-use crate::{Micros, Saved};
+use crate::{Micros, PersistentState};
 use std::cmp::Reverse;
 
 /// How the machine that is looked at comes back.
@@ -57,8 +57,8 @@
         let disk = self.rng.u64(2000..);
         let n = &mut self.nodes[one];
         match back {
-            Back::Old => (n.disk, n.saved) = (disk, n.copy.1.clone().stranger()),
-            Back::Empty => (n.disk, n.saved) = (disk, Saved::blank()),
+            Back::Old => (n.disk, n.saved) = (disk, n.copy.1.clone().into_non_voter()),
+            Back::Empty => (n.disk, n.saved) = (disk, PersistentState::empty()),
             Back::Soon | Back::Late => {}
         }
     }
--- a/crates/consensus/tests/names.rs
+++ b/crates/consensus/tests/names.rs
@@ -1,29 +1,29 @@
-//! The names of a store's files, of which a loss of power may keep or lose each by itself until the folder is synced.
+//! The names of a store's files: until the directory is synced, a loss of power may keep or lose each of them separately.
 
 use consensus::disk::Store;
-use consensus::{Entry, Hard, Member, Payload, Saved, Write};
+use consensus::{Entry, HardState, Member, Payload, PersistentState, Write};
 use std::path::PathBuf;
 
 const ME: Member = Member::new(10, 0, 0, 1);
 const FILE: &str = "ratchet.redb";
-const BEGUN: &str = "ratchet.redb.new";
+const TEMPORARY: &str = "ratchet.redb.new";
 
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("ratchet-names-{name}-{}", std::process::id()));
+impl TempDir {
+    fn new(name: &str) -> TempDir {
+        let path = std::env::temp_dir().join(format!("consensus-names-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        Folder(path)
+        TempDir(path)
     }
 
-    fn open(&self, disk: u64) -> Result<(Store, Saved), String> {
-        Store::open(&self.0, ME, || (disk, Saved::founding([ME]))).map_err(|e| e.to_string())
+    fn open(&self, disk: u64) -> Result<(Store, PersistentState), String> {
+        Store::open(&self.0, ME, || (disk, PersistentState::founding([ME]))).map_err(|e| e.to_string())
     }
 
-    /// The names of what is there, locks left out.
+    /// The names of all files but locks.
     fn names(&self) -> Vec<String> {
-        let all = std::fs::read_dir(&self.0).expect("a folder");
+        let all = std::fs::read_dir(&self.0).expect("a directory");
         let mut names: Vec<String> =
             all.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
         names.retain(|name| !name.ends_with(".lock"));
@@ -32,62 +32,63 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn written(index: u64) -> Write {
+fn write_of(index: u64) -> Write {
     Write {
         number: index,
-        hard: Hard { term: 1, vote: Some(ME), commit: index, standing: true },
-        from: Some(index),
-        entries: vec![Entry { term: 1, index, payload: Payload::Nothing }],
+        hard: HardState { term: 1, vote: Some(ME), commit: index, voter: true },
+        truncate_from: Some(index),
+        entries: vec![Entry { term: 1, index, payload: Payload::Noop }],
         ..Write::default()
     }
 }
 
-/// What a loss of power before the first sync of the folder can leave: either name, both or none, and a begun file that is
-/// whole, empty or torn. A store whose own name is there holds all that it promised; one that is only begun has promised
-/// nothing, and is taken up where it is whole: a founder is still one.
+/// A loss of power before the first sync of the directory can leave either name, both or none, and a temporary file that is
+/// complete, empty or torn. A store under its final name holds all acknowledged writes. A temporary file holds nothing
+/// acknowledged, and is used if it is complete, so that a founder stays a founder.
 #[test]
 fn whichever_names_a_loss_of_power_keeps_the_store_opens_and_has_what_it_promised() {
-    let whole = {
-        let folder = Folder::new("whole");
-        let (store, _) = folder.open(7).expect("made");
-        store.write(&written(1)).expect("written");
+    let complete = {
+        let dir = TempDir::new("whole");
+        let (store, _) = dir.open(7).expect("made");
+        store.write(&write_of(1)).expect("written");
         drop(store);
-        assert_eq!(folder.names(), [FILE], "it has its name, and no other is left");
-        std::fs::read(folder.0.join(FILE)).expect("there")
+        assert_eq!(dir.names(), [FILE], "it has its name, and no other is left");
+        std::fs::read(dir.0.join(FILE)).expect("there")
     };
-    let begun: [Option<&[u8]>; 4] = [None, Some(b""), Some(&whole[..whole.len() / 2]), Some(&whole)];
-    for (at, begun) in begun.into_iter().enumerate() {
-        for named in [false, true] {
-            let folder = Folder::new(&format!("{at}-{named}"));
-            std::fs::create_dir_all(&folder.0).expect("a folder");
-            if named {
-                std::fs::write(folder.0.join(FILE), &whole).expect("written");
+    let temporary: [Option<&[u8]>; 4] =
+        [None, Some(b""), Some(&complete[..complete.len() / 2]), Some(&complete)];
+    for (at, temporary) in temporary.into_iter().enumerate() {
+        for has_final_name in [false, true] {
+            let dir = TempDir::new(&format!("{at}-{has_final_name}"));
+            std::fs::create_dir_all(&dir.0).expect("a directory");
+            if has_final_name {
+                std::fs::write(dir.0.join(FILE), &complete).expect("written");
             }
-            if let Some(bytes) = begun {
-                std::fs::write(folder.0.join(BEGUN), bytes).expect("written");
+            if let Some(bytes) = temporary {
+                std::fs::write(dir.0.join(TEMPORARY), bytes).expect("written");
             }
-            let (store, saved) = folder.open(8).unwrap_or_else(|e| panic!("{at} {named}: {e}"));
-            let (disk, last) = if named || at == 3 { (7, 1) } else { (8, 0) };
-            assert_eq!((store.disk(), saved.last()), (disk, last), "{at} {named}");
-            store.write(&written(last + 1)).expect("written");
+            let (store, saved) = dir.open(8).unwrap_or_else(|e| panic!("{at} {has_final_name}: {e}"));
+            let (disk, last) = if has_final_name || at == 3 { (7, 1) } else { (8, 0) };
+            assert_eq!((store.disk(), saved.last_index()), (disk, last), "{at} {has_final_name}");
+            store.write(&write_of(last + 1)).expect("written");
             drop(store);
-            assert_eq!(folder.names(), [FILE], "{at} {named}");
-            assert_eq!(folder.open(9).expect("there").1.last(), last + 1);
+            assert_eq!(dir.names(), [FILE], "{at} {has_final_name}");
+            assert_eq!(dir.open(9).expect("there").1.last_index(), last + 1);
         }
     }
-    // A file of its own name that is empty or torn lost what it had promised.
-    for bytes in [&b""[..], &whole[..whole.len() / 2]] {
-        let folder = Folder::new("lost");
-        std::fs::create_dir_all(&folder.0).expect("a folder");
-        std::fs::write(folder.0.join(FILE), bytes).expect("written");
-        let error = folder.open(8).err().expect("refused");
+    // A file under its final name that is empty or torn has lost acknowledged writes.
+    for bytes in [&b""[..], &complete[..complete.len() / 2]] {
+        let dir = TempDir::new("lost");
+        std::fs::create_dir_all(&dir.0).expect("a directory");
+        std::fs::write(dir.0.join(FILE), bytes).expect("written");
+        let error = dir.open(8).err().expect("refused");
         assert!(error.contains(FILE), "{error}");
-        assert_eq!(std::fs::read(folder.0.join(FILE)).expect("kept"), bytes);
+        assert_eq!(std::fs::read(dir.0.join(FILE)).expect("kept"), bytes);
     }
 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -10,7 +10,7 @@
 use cluster::state::{Command, Node, State};
 use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
 use config_store::chest::{self, Chest, Peer};
-use consensus::{Saved, Write};
+use consensus::{PersistentState, Write};
 use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
@@ -91,7 +91,7 @@
 /// What is on a core machine's disk.
 #[derive(Default)]
 pub struct Disk {
-    pub saved: Option<(u64, Saved)>,
+    pub saved: Option<(u64, PersistentState)>,
     /// On its way to the disk.
     under_way: Option<Write>,
     pub slow: Micros,
@@ -203,8 +203,8 @@
                 let size = (losses > 0).then_some(2 * losses + 1);
                 let initial = !std::mem::replace(&mut self.hosts[host].begun, true) && founders.contains(&ip);
                 let saved = self.disks[n].saved.get_or_insert_with(|| match initial {
-                    true => (0, Saved::founding(founders)),
-                    false => (life, Saved::blank()),
+                    true => (0, PersistentState::founding(founders)),
+                    false => (life, PersistentState::empty()),
                 });
                 let (disk, saved) = saved.clone();
                 let chest = Chest::new(ip, disk, saved, seeds.clone(), life, 0);
