--- a/crates/consensus/src/core.rs
+++ b/crates/consensus/src/core.rs
@@ -93,7 +93,8 @@
     /// Bytes acknowledged and bytes sent. `sent` is None before the first chunk, as a snapshot may have no bytes.
     received: u64,
     sent: Option<u64>,
-    /// The round of the last chunk sent. A response to a later round shows which chunks were lost, however slow the link.
+    /// The round of the last chunk sent. A response to a later round shows which chunks were lost, however slow the
+    /// link.
     round: u64,
 }
 
@@ -106,9 +107,9 @@
         self.snapshot.data.len() as u64
     }
 
-    /// Whether to send the newest snapshot instead: entries after this one are no longer kept, or finishing this one and
-    /// sending the entries up to the newest costs more than starting over. This terminates as long as the link is faster
-    /// than the rate of changes.
+    /// Whether to send the newest snapshot instead: entries after this one are no longer kept, or finishing this one
+    /// and sending the entries up to the newest costs more than starting over. This terminates as long as the link is
+    /// faster than the rate of changes.
     fn outdated(&self, log: &Log) -> bool {
         let (at, newest) = (self.snapshot.index, &log.snapshot);
         let restart_cost = newest.data.len() as u64 + self.sent.unwrap_or_default();
@@ -304,13 +305,14 @@
         self.hard.commit
     }
 
-    /// The leader's commit index, as last reported. It is beyond [`Replica::commit_index`] while entries are missing here.
+    /// The leader's commit index, as last reported. It is beyond [`Replica::commit_index`] while entries are missing
+    /// here.
     pub fn leader_commit(&self) -> u64 {
         self.leader_commit.max(self.hard.commit)
     }
 
-    /// Whether [`Replica::leader_commit`] covers all that was acknowledged until recently: this term's leader has reported
-    /// it, and has committed an entry of its own term, so it knows what earlier leaders have committed.
+    /// Whether [`Replica::leader_commit`] covers all that was acknowledged until recently: this term's leader has
+    /// reported it, and has committed an entry of its own term, so it knows what earlier leaders have committed.
     pub fn knows_leader_commit(&self) -> bool {
         if fault!(self, FreshFromChunks) {
             return self.leader.is_some();
@@ -433,8 +435,8 @@
             Input::TargetSize(size) => self.target_size = size.min(MAX_MEMBERS),
             Input::PrepareToStop => {
                 self.leaving_since = Some(now);
-                // A learner that has caught up replaces this member while it still leads. For one that is still catching
-                // up the leader waits: under another leader it would have to start over.
+                // A learner that has caught up replaces this member while it still leads. For one that is still
+                // catching up the leader waits: under another leader it would have to start over.
                 if !self.propose_membership_change(now) && !self.has_live_learner(now) {
                     self.transfer_leadership(now, out);
                     self.report_leaving(now, out);
@@ -513,8 +515,8 @@
 
     // Majorities
 
-    /// The membership before the latest one, as long as the latest isn't known to be committed: then a majority of each is
-    /// needed.
+    /// The membership before the latest one, as long as the latest isn't known to be committed: then a majority of each
+    /// is needed.
     fn previous_membership(&self) -> Option<&Membership> {
         let (index, _) = self.log.membership();
         if index <= self.hard.commit { None } else { self.log.previous_membership() }
@@ -1175,8 +1177,8 @@
         })
     }
 
-    /// A leader that the committed membership no longer contains steps down once a majority of that membership knows that it
-    /// is committed.
+    /// A leader that the committed membership no longer contains steps down once a majority of that membership knows
+    /// that it is committed.
     fn step_down_if_removed(&mut self, now: Micros, out: &mut Output) {
         let Some(lead) = &self.leadership else { return };
         let (index, membership) = self.log.membership();
@@ -1232,7 +1234,8 @@
             let removed = lead.peers.extract_if(.., |m, p| !membership.contains(*m, p.disk));
             lead.learners.extend(removed);
         }
-        // If the latest membership isn't committed yet, the one before it is, or the latest wouldn't have been proposed.
+        // If the latest membership isn't committed yet, the one before it is, or the latest wouldn't have been
+        // proposed.
         let voter = match index <= to {
             true => membership.contains(self.me, self.disk),
             false => self.log.previous_membership().is_some_and(|b| b.contains(self.me, self.disk)),
@@ -1279,8 +1282,8 @@
             lead.round += 1;
             lead.next_heartbeat = now + self.timing.heartbeat_interval;
         }
-        // While a machine catches up with a new disk, nothing is sent for its old disk: the responses would be taken for
-        // responses to what the new disk was sent.
+        // While a machine catches up with a new disk, nothing is sent for its old disk: the responses would be taken
+        // for responses to what the new disk was sent.
         let limit = self.timing.election_timeout.1;
         let superseded = |(m, p): &(&Member, &Peer)| {
             let learner_is_newer = lead.learners.get(*m).is_some_and(|l| l.last_heard > p.last_heard);
@@ -1293,7 +1296,8 @@
         }
     }
 
-    /// Sends the entries or snapshot chunks that this disk lacks, and at a heartbeat an empty message if there are none.
+    /// Sends the entries or snapshot chunks that this disk lacks, and at a heartbeat an empty message if there are
+    /// none.
     fn replicate_to(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -39,8 +39,8 @@
 }
 
 impl Store {
-    /// Opens the store in `dir`. If there is none, creates one with the disk number and initial state that `initial` returns
-    /// ([`PersistentState::founding`] or [`PersistentState::empty`]).
+    /// Opens the store in `dir`. If there is none, creates one with the disk number and initial state that `initial`
+    /// returns ([`PersistentState::founding`] or [`PersistentState::empty`]).
     pub fn open(
         dir: &Path,
         member: Member,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -7,35 +7,37 @@
 //!
 //! # Elections and the log
 //!
-//! A member runs a pre-vote before it raises the term, and nobody grants a vote while a live leader is heard. So a member
-//! that restarts often, or can only send or only receive, does not depose a leader. A leader that hears from no majority
-//! for an election timeout, or whose disk doesn't finish a write in time, steps down. What a vote or an acknowledgement
-//! states is on disk before the message is sent; the leader counts its own disk by the same rule. An entry is committed
-//! when a majority has it, together with an entry of the leader's own term at or after it.
+//! A member runs a pre-vote before it raises the term, and nobody grants a vote while a live leader is heard. So a
+//! member that restarts often, or can only send or only receive, does not depose a leader. A leader that hears from no
+//! majority for an election timeout, or whose disk doesn't finish a write in time, steps down. What a vote or an
+//! acknowledgement states is on disk before the message is sent; the leader counts its own disk by the same rule. An
+//! entry is committed when a majority has it, together with an entry of the leader's own term at or after it.
 //!
 //! # Membership changes, and why two majorities always intersect
 //!
-//! A member is a machine *and a disk*. A disk gets a random number when its store is created (0 for founders). A lost
+//! A member is a machine *and a disk*. A disk gets a number of its own when its store is created (0 for founders). A lost
 //! disk never returns: whatever comes back at its address has another disk number and is a non-voter. So no
 //! member ever forgets what it promised. A non-voter sends a join request and is brought up to date as a learner. It
 //! then replaces the former disk at its own address, or a member at another address that leaves or has been silent for
 //! too long, or it takes a free place; otherwise it stays a learner as a spare.
 //!
 //! - *One log entry R changes the membership from O (old) to N (new).* A replica that has R but doesn't know that it is
-//!   committed elects, commits and reads by a majority of O *and* a majority of N; one that knows, by a majority of N; one
-//!   that lacks R, by a majority of O.
-//! - *A later candidate that lacks R* needs a majority of O. That intersects the majority of O that committed R, so some
-//!   voter refuses. A candidate that has R, whether or not it knows that R is committed, needs a majority of N, and so do
-//!   all commits after R: these majorities intersect. What O committed before R precedes R in every log that has R.
+//!   committed elects, commits and reads by a majority of O *and* a majority of N; one that knows, by a majority of N;
+//!   one that lacks R, by a majority of O.
+//! - *A later candidate that lacks R* needs a majority of O. That intersects the majority of O that committed R, so
+//!   some voter refuses. A candidate that has R, whether or not it knows that R is committed, needs a majority of N,
+//!   and so do all commits after R: these majorities intersect. What O committed before R precedes R in every log that
+//!   has R.
 //! - *No replica relies on N alone too early.* A replica learns that R is committed from a leader of the term that
 //!   committed it or of a later term, so a replica that knows campaigns in a later term.
-//! - *One change at a time.* R is proposed only when the previous membership is known to be committed and the leader has
-//!   committed an entry of its own term.
-//! - *One vote per term*, and no second one to the same address, which may have another disk by then. A vote is granted to
-//!   anyone, by term and log only: a voter that lags may not know who has replaced whom. A candidate counts the
+//! - *One change at a time.* R is proposed only when the previous membership is known to be committed and the leader
+//!   has committed an entry of its own term.
+//! - *One vote per term*, and no second one to the same address, which may have another disk by then. A vote is granted
+//!   to anyone, by term and log only: a voter that lags may not know who has replaced whom. A candidate counts the
 //!   votes of the disks that its memberships contain. The pre-vote keeps non-members from deposing a leader.
-//! - *A replica that knows that R is committed says so.* Append and vote responses carry the sender's commit index, and a
-//!   replica persists its commit index as soon as it passes a membership entry. So O isn't needed again after a restart.
+//! - *A replica that knows that R is committed says so.* Append and vote responses carry the sender's commit index, and
+//!   a replica persists its commit index as soon as it passes a membership entry. So O isn't needed again after a
+//!   restart.
 //! - *Voter* means that a committed membership contains this disk, as far as the replica knows.
 //!
 //! The alternatives, and who is replaced when: `docs/system/membership.md`.
@@ -116,8 +118,8 @@
     }
 }
 
-/// How many bytes of entries cost as much as a snapshot of `state_bytes`. Once the log has grown that long a snapshot is
-/// due, and no longer log tail is kept.
+/// How many bytes of entries cost as much as a snapshot of `state_bytes`. Once the log has grown that long a snapshot
+/// is due, and no longer log tail is kept.
 pub fn snapshot_threshold(state_bytes: usize) -> usize {
     state_bytes.max(64 << 10)
 }
@@ -175,8 +177,8 @@
         self
     }
 
-    /// A new group with `me` as its only member, from what one disk of the old group has left. `data` is the host's state
-    /// after the last entry. Term and index lie far beyond any that the old group can have reached unseen, so a
+    /// A new group with `me` as its only member, from what one disk of the old group has left. `data` is the host's
+    /// state after the last entry. Term and index lie far beyond any that the old group can have reached unseen, so a
     /// member that still has the old group's log replaces all of it.
     pub fn recovered(&self, me: Member, disk: Disk, data: Vec<u8>) -> PersistentState {
         let (index, term) = (self.last_index() + RECOVERY_GAP, self.hard.term + RECOVERY_GAP);
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -119,9 +119,9 @@
         bytes
     }
 
-    /// Takes over the host's snapshot and drops entries well before it. At most `tail` entries before it are kept, and no
-    /// more bytes of them than the snapshot has, or sending them would cost more than the snapshot. Entries after
-    /// `keep_after` are kept, up to [`MAX_KEPT_BYTES`].
+    /// Takes over the host's snapshot and drops entries well before it. At most `tail` entries before it are kept, and
+    /// no more bytes of them than [`snapshot_threshold`], or sending them would cost more than the snapshot. Entries
+    /// after `keep_after` are kept as well, as long as they have fewer than [`MAX_KEPT_BYTES`].
     pub fn compact(&mut self, index: u64, data: Vec<u8>, tail: u64, keep_after: Option<u64>) {
         let Some(term) = self.term(index).filter(|_| index > self.snapshot.index) else { return };
         let at = self
--- a/crates/consensus/src/sim.rs
+++ b/crates/consensus/src/sim.rs
@@ -1,4 +1,4 @@
-//! A group of members in simulated time, with all that can go wrong, and a judge of what they do.
+//! A group of replicas in simulated time, with random failures, and a checker of the safety properties.
 
 use crate::core::Fault;
 use crate::{
@@ -15,8 +15,8 @@
 mod power;
 
 const MS: Micros = 1000;
-/// The first disks of those that are no founders.
-const FIRST: Disk = 1000;
+/// The number of the first spare's disk; founders have disk 0.
+const FIRST_SPARE_DISK: Disk = 1000;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -27,49 +27,49 @@
     },
     Synced {
         node: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
     },
     Wake {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Start {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Client,
-    Trouble,
-    Trap {
+    InjectFailure,
+    WipeVoterOfSuccessor {
         leader: usize,
     },
-    Thaw {
+    ResumeDisk {
         node: usize,
     },
-    /// A host that was told to stop looks whether it may.
-    Stopping {
+    /// A host that was told to stop ends, unless its member is being replaced.
+    StopUnlessReplaced {
         node: usize,
-        life: u64,
+        incarnation: u64,
         until: Micros,
     },
 }
 
 struct Node {
-    /// Counts starts and ends, so that what was meant for an earlier run goes nowhere.
-    life: u64,
+    /// Counts starts and ends, so that events for an earlier run are ignored.
+    incarnation: u64,
     disk: Disk,
     saved: PersistentState,
     consensus: Option<Replica>,
     write: Option<(Write, bool)>,
-    hung: bool,
-    sync: (Micros, Micros),
-    /// How far its clock is ahead: a machine that slept, a clock that jumped.
-    ahead: Micros,
-    /// A copy of the disk from some time ago, and whose it was.
-    copy: (Disk, PersistentState),
+    disk_hung: bool,
+    sync_time: (Micros, Micros),
+    /// How far its clock is ahead: the machine was suspended, or the clock jumped.
+    clock_offset: Micros,
+    /// An earlier copy of the disk, with the disk's number.
+    old_copy: (Disk, PersistentState),
     applied: u64,
     state: Vec<u64>,
-    wake: Micros,
+    wake_at: Micros,
 }
 
 struct Sim {
@@ -79,49 +79,49 @@
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     nodes: Vec<Node>,
     founders: usize,
-    cuts: BTreeSet<(usize, usize)>,
-    rough: bool,
-    calm: bool,
+    cut_links: BTreeSet<(usize, usize)>,
+    lossy_network: bool,
+    failures_stopped: bool,
     timing: Timing,
     fault: Option<Fault>,
-    /// Sudden ends right after a vote.
-    jumpy: bool,
-    /// What members are told of the size of the group, and who is told to whoever starts; none: the founders.
-    size: Option<usize>,
+    /// Members crash right after granting a vote.
+    restart_after_vote: bool,
+    /// The target size and the seeds given to members at start. Without seeds they get the founders.
+    target_size: Option<usize>,
     seeds: Option<Vec<usize>>,
-    /// Bytes beside each ticket, and how long a byte takes on a link.
-    pad: usize,
-    byte: Option<f64>,
-    /// Until when each link is taken.
+    /// Bytes added to each ticket, and the transmission time of a byte.
+    padding: usize,
+    us_per_byte: Option<f64>,
+    /// When each link is free again.
     links: BTreeMap<(usize, usize), Micros>,
-    judge: Judge,
-    wrong: Option<String>,
-    /// What is wrong is only that the group did not come back.
-    stalled: bool,
+    checker: Checker,
+    violation: Option<String>,
+    /// The violation is only that the group did not recover.
+    not_recovered: bool,
     ticket: u64,
-    /// Reads under way, and the highest entry that was acknowledged when each came.
+    /// Pending reads, with the highest acknowledged index when each was requested.
     reads: BTreeMap<(usize, u64), u64>,
-    seen: Seen,
+    coverage: Coverage,
 }
 
 #[derive(Default)]
-struct Judge {
+struct Checker {
     leaders: BTreeMap<u64, usize>,
     committed: BTreeMap<u64, Entry>,
     acked: BTreeSet<u64>,
-    acked_to: u64,
+    acked_index: u64,
 }
 
-/// That the schedules reach what they are for.
+/// Counts of what the schedules exercised.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Coverage {
     leaders: usize,
     committed: u64,
     acked: usize,
     reads: usize,
     lost: usize,
     wiped: usize,
-    /// Old copies of disks put back.
+    /// Old copies of disks that were restored.
     copies: usize,
     installed: usize,
     memberships: usize,
@@ -134,18 +134,18 @@
 impl Node {
     fn new(disk: Disk, saved: PersistentState) -> Node {
         Node {
-            life: 0,
+            incarnation: 0,
             disk,
             saved,
             consensus: None,
             write: None,
-            hung: false,
-            sync: (MS, 3 * MS),
-            ahead: 0,
-            copy: (0, PersistentState::empty()),
+            disk_hung: false,
+            sync_time: (MS, 3 * MS),
+            clock_offset: 0,
+            old_copy: (0, PersistentState::empty()),
             applied: 0,
             state: Vec::new(),
-            wake: Micros::MAX,
+            wake_at: Micros::MAX,
         }
     }
 }
@@ -170,7 +170,7 @@
                 ..Timing::default()
             },
         };
-        let jumpy = rng.bool();
+        let restart_after_vote = rng.bool();
         let mut sim = Sim {
             rng,
             now: 0,
@@ -178,34 +178,34 @@
             queue: BinaryHeap::new(),
             nodes: Vec::new(),
             founders,
-            cuts: BTreeSet::new(),
-            rough: false,
-            calm: false,
+            cut_links: BTreeSet::new(),
+            lossy_network: false,
+            failures_stopped: false,
             timing,
             fault,
-            jumpy,
-            size: None,
+            restart_after_vote,
+            target_size: None,
             seeds: None,
-            pad: 0,
-            byte: None,
+            padding: 0,
+            us_per_byte: None,
             links: BTreeMap::new(),
-            judge: Judge::default(),
-            wrong: None,
-            stalled: false,
+            checker: Checker::default(),
+            violation: None,
+            not_recovered: false,
             ticket: 0,
             reads: BTreeMap::new(),
-            seen: Seen::default(),
+            coverage: Coverage::default(),
         };
         for node in 0..founders + extra {
             let founder = node < founders;
-            let disk = if founder { 0 } else { FIRST + node as u64 };
+            let disk = if founder { 0 } else { FIRST_SPARE_DISK + node as u64 };
             let saved = if founder { sim.founding() } else { PersistentState::empty() };
             sim.nodes.push(Node::new(disk, saved));
             let at = sim.rng.u64(..if founder { 50 } else { 3000 }) * MS;
-            sim.at(at, Event::Start { node, life: 0 });
+            sim.schedule(at, Event::Start { node, incarnation: 0 });
         }
-        sim.at(100 * MS, Event::Client);
-        sim.at(900 * MS, Event::Trouble);
+        sim.schedule(100 * MS, Event::Client);
+        sim.schedule(900 * MS, Event::InjectFailure);
         sim
     }
 
@@ -213,38 +213,38 @@
         PersistentState::founding((0..self.founders).map(member))
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((at, self.seq, event)));
     }
 
     fn run(&mut self, until: Micros) {
-        while self.wrong.is_none() {
+        while self.violation.is_none() {
             match self.queue.peek() {
                 Some(Reverse((at, ..))) if *at <= until => {}
                 _ => break,
             }
             let Reverse((at, _, event)) = self.queue.pop().expect("seen");
             self.now = at;
-            self.step(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Deliver { to, from, bytes } => {
-                if !self.cuts.contains(&(from, to)) {
+                if !self.cut_links.contains(&(from, to)) {
                     let (from_disk, message) = decode(&bytes).expect("as it was sent");
                     self.input(to, Input::Message { from: member(from), from_disk, message });
                 }
             }
-            Event::Synced { node, life, number } => {
+            Event::Synced { node, incarnation, number } => {
                 let n = &mut self.nodes[node];
-                if n.life != life || n.write.as_ref().is_none_or(|(w, _)| w.number != number) {
+                if n.incarnation != incarnation || n.write.as_ref().is_none_or(|(w, _)| w.number != number) {
                     return;
                 }
-                if n.hung {
+                if n.disk_hung {
                     n.write.as_mut().expect("there").1 = true;
                     return;
                 }
@@ -252,36 +252,38 @@
                 write.apply(&mut n.saved);
                 self.input(node, Input::Written { number });
             }
-            Event::Wake { node, life } => {
-                if self.nodes[node].life == life && self.nodes[node].wake <= self.now {
-                    self.nodes[node].wake = Micros::MAX;
+            Event::Wake { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].wake_at <= self.now {
+                    self.nodes[node].wake_at = Micros::MAX;
                     self.input(node, Input::Tick);
                 }
             }
-            Event::Start { node, life } => self.start(node, life),
-            Event::Stopping { node, life, until } => self.stopping(node, life, until),
+            Event::Start { node, incarnation } => self.start(node, incarnation),
+            Event::StopUnlessReplaced { node, incarnation, until } => {
+                self.stop_unless_replaced(node, incarnation, until)
+            }
             Event::Client => self.client(),
-            Event::Trouble if self.calm => {}
-            Event::Trouble => self.trouble(),
-            Event::Trap { leader } => self.trap(leader),
-            Event::Thaw { node } => {
+            Event::InjectFailure if self.failures_stopped => {}
+            Event::InjectFailure => self.inject_failure(),
+            Event::WipeVoterOfSuccessor { leader } => self.wipe_voter_of_successor(leader),
+            Event::ResumeDisk { node } => {
                 let n = &mut self.nodes[node];
-                (n.hung, n.sync) = (false, (MS, 3 * MS));
-                let life = n.life;
+                (n.disk_hung, n.sync_time) = (false, (MS, 3 * MS));
+                let incarnation = n.incarnation;
                 if let Some((write, true)) = &n.write {
                     let number = write.number;
-                    self.at(self.now + MS, Event::Synced { node, life, number });
+                    self.schedule(self.now + MS, Event::Synced { node, incarnation, number });
                 }
             }
         }
     }
 
-    fn start(&mut self, node: usize, life: u64) {
+    fn start(&mut self, node: usize, incarnation: u64) {
         let founding = self.founding();
         let seed = self.rng.u64(..);
-        let now = self.now + self.nodes[node].ahead;
+        let now = self.now + self.nodes[node].clock_offset;
         let n = &mut self.nodes[node];
-        if n.life != life || n.consensus.is_some() {
+        if n.incarnation != incarnation || n.consensus.is_some() {
             return;
         }
         if n.saved == PersistentState::empty()
@@ -290,29 +292,29 @@
         {
             (n.saved, n.disk) = (founding, 0);
         }
-        n.life += 1;
-        n.wake = Micros::MAX;
+        n.incarnation += 1;
+        n.wake_at = Micros::MAX;
         n.applied = n.saved.snapshot.index;
-        n.state = unpack(&n.saved.snapshot.data, self.pad);
+        n.state = unpack(&n.saved.snapshot.data, self.padding);
         let mut consensus = Replica::new(member(node), n.disk, n.saved.clone(), seed, self.timing, now);
         consensus.fault = self.fault;
         n.consensus = Some(consensus);
         let seeds = self.seeds.clone().unwrap_or_else(|| (0..self.founders).collect());
         self.input(node, Input::Seeds(seeds.into_iter().map(member).collect()));
-        if let Some(size) = self.size {
+        if let Some(size) = self.target_size {
             self.input(node, Input::TargetSize(size));
         }
     }
 
-    /// The process ends; a write under way is on disk as a whole or not at all.
-    fn end(&mut self, node: usize) {
+    /// The process ends; a write in progress is on disk as a whole or not at all.
+    fn crash(&mut self, node: usize) {
         let kept = self.rng.bool();
         let n = &mut self.nodes[node];
-        n.life += 1;
+        n.incarnation += 1;
         n.consensus = None;
         if let Some((write, _)) = n.write.take()
             && kept
-            && !n.hung
+            && !n.disk_hung
         {
             write.apply(&mut n.saved);
         }
@@ -320,44 +322,46 @@
     }
 
     fn restart(&mut self, node: usize, from: Micros, to: Micros) {
-        self.end(node);
+        self.crash(node);
         let at = self.now + self.rng.u64(from..=to);
-        let life = self.nodes[node].life;
-        self.at(at, Event::Start { node, life });
+        let incarnation = self.nodes[node].incarnation;
+        self.schedule(at, Event::Start { node, incarnation });
     }
 
-    /// Loses a disk, if the group can bear that now.
+    /// Replaces a disk by an empty one, if the group can tolerate that now.
     fn wipe(&mut self, node: usize) {
-        // One that has never been of the group may come at any time; one that a roster names counts
-        // as down until it stands and has that on disk.
-        let named = |at: usize, disk: Disk| {
+        // A spare that has never been a member may be in any state. A member counts as down until it is a voter
+        // and has that on disk.
+        let is_member = |at: usize, disk: Disk| {
             let memberships = self.nodes.iter().filter_map(|n| n.consensus.as_ref()).map(Replica::membership);
             memberships.filter(|r| r.contains(member(at), disk)).count() > 0
         };
-        let well = |(at, n): (usize, &Node)| {
-            let never = (FIRST..FIRST + 10).contains(&n.disk) && !named(at, n.disk);
-            never || n.saved.hard.voter && n.consensus.as_ref().is_some_and(|r| r.role() != Role::Failed)
+        let healthy = |(at, n): (usize, &Node)| {
+            let never_member =
+                (FIRST_SPARE_DISK..FIRST_SPARE_DISK + 10).contains(&n.disk) && !is_member(at, n.disk);
+            never_member
+                || n.saved.hard.voter && n.consensus.as_ref().is_some_and(|r| r.role() != Role::Failed)
         };
-        if !self.nodes.iter().enumerate().all(well) || !named(node, self.nodes[node].disk) {
+        if !self.nodes.iter().enumerate().all(healthy) || !is_member(node, self.nodes[node].disk) {
             return;
         }
         self.restart(node, 0, 400 * MS);
-        self.seen.wiped += 1;
+        self.coverage.wiped += 1;
         let disk = self.rng.u64(2000..);
         let n = &mut self.nodes[node];
         (n.saved, n.disk) = (PersistentState::empty(), disk);
     }
 
-    /// Its disk gives way to an old copy of one that this machine had, if the group can bear the loss of the disk.
-    fn go_back(&mut self, node: usize) {
-        let life = self.nodes[node].life;
+    /// Replaces a disk by an old copy of one that this machine had, if the group can tolerate the loss of the disk.
+    fn restore_old_copy(&mut self, node: usize) {
+        let incarnation = self.nodes[node].incarnation;
         self.wipe(node);
         let n = &mut self.nodes[node];
-        if n.life == life {
+        if n.incarnation == incarnation {
             return;
         }
-        let (disk, copy) = n.copy.clone();
-        self.seen.copies += usize::from(copy != PersistentState::empty());
+        let (disk, copy) = n.old_copy.clone();
+        self.coverage.copies += usize::from(copy != PersistentState::empty());
         if self.fault == Some(Fault::OldCopyVotes) {
             if copy != PersistentState::empty() {
                 (n.disk, n.saved) = (disk, copy);
@@ -371,124 +375,128 @@
         let tail = self.timing.log_tail_entries;
         let mut out = Output::default();
         let n = &mut self.nodes[node];
-        let now = self.now + n.ahead;
+        let now = self.now + n.clock_offset;
         let Some(consensus) = &mut n.consensus else { return };
         consensus.handle(now, input, &mut out);
         if consensus.role() == Role::Leader {
-            let (term, leads) = (consensus.term(), &mut self.judge.leaders);
+            let (term, leads) = (consensus.term(), &mut self.checker.leaders);
             if *leads.entry(term).or_insert(node) != node {
-                self.wrong = Some(format!("two leaders of term {term}"));
+                self.violation = Some(format!("two leaders of term {term}"));
             }
         }
         if let Some(snapshot) = &out.installed {
-            self.seen.installed += 1;
-            let state = unpack(&snapshot.data, self.pad);
-            let wanted = values(self.judge.committed.range(..=snapshot.index).map(|(_, e)| e));
-            if state != wanted {
-                self.wrong =
+            self.coverage.installed += 1;
+            let state = unpack(&snapshot.data, self.padding);
+            let expected = values(self.checker.committed.range(..=snapshot.index).map(|(_, e)| e));
+            if state != expected {
+                self.violation =
                     Some(format!("snapshot {} of node {node} is not what was committed", snapshot.index));
             }
             (n.applied, n.state) = (snapshot.index, state);
         }
-        let mut keep = false;
+        let mut snapshot_due = false;
         for entry in out.committed {
             if entry.index != n.applied + 1 {
-                self.wrong = Some(format!("node {node} applies {} after {}", entry.index, n.applied));
+                self.violation = Some(format!("node {node} applies {} after {}", entry.index, n.applied));
             }
             n.applied = entry.index;
             n.state.extend(values(std::iter::once(&entry)));
-            keep |= entry.index % (tail + 17) == 0;
-            self.seen.memberships += usize::from(entry.payload.membership().is_some());
+            snapshot_due |= entry.index % (tail + 17) == 0;
+            self.coverage.memberships += usize::from(entry.payload.membership().is_some());
             let index = entry.index;
-            let first = self.judge.committed.entry(index).or_insert_with(|| entry.clone());
+            let first = self.checker.committed.entry(index).or_insert_with(|| entry.clone());
             if *first != entry {
-                self.wrong = Some(format!("node {node} has another entry {index}: {entry:?}, was {first:?}"));
+                self.violation =
+                    Some(format!("node {node} has another entry {index}: {entry:?}, was {first:?}"));
             }
         }
         for (ticket, result) in out.proposed {
             if let Ok(index) = result {
-                let found = self.judge.committed.get(&index).map(|e| &e.payload);
-                if found != Some(&Payload::Data(pack(&[ticket], self.pad))) {
-                    self.wrong = Some(format!("{ticket} is acknowledged as {index}, where it is not"));
+                let found = self.checker.committed.get(&index).map(|e| &e.payload);
+                if found != Some(&Payload::Data(pack(&[ticket], self.padding))) {
+                    self.violation = Some(format!("{ticket} is acknowledged as {index}, where it is not"));
                 }
-                self.judge.acked.insert(ticket);
-                self.judge.acked_to = self.judge.acked_to.max(index);
+                self.checker.acked.insert(ticket);
+                self.checker.acked_index = self.checker.acked_index.max(index);
             }
         }
         for (ticket, result) in out.read {
-            let least = self.reads.remove(&(node, ticket)).expect("asked for");
+            let min_index = self.reads.remove(&(node, ticket)).expect("asked for");
             if let Ok(index) = result {
-                self.seen.reads += 1;
-                if index < least {
-                    self.wrong = Some(format!("a read at {index}, {least} was acknowledged before"));
+                self.coverage.reads += 1;
+                if index < min_index {
+                    self.violation = Some(format!("a read at {index}, {min_index} was acknowledged before"));
                 }
             }
         }
-        self.seen.lost += out.lost.len();
-        let life = n.life;
+        self.coverage.lost += out.lost.len();
+        let incarnation = n.incarnation;
         let disk = n.disk;
         if let Some(write) = out.write {
             assert!(n.write.is_none(), "one write at a time");
             let number = write.number;
             n.write = Some((write, false));
-            let at = self.now + self.rng.u64(n.sync.0..=n.sync.1);
-            self.at(at, Event::Synced { node, life, number });
+            let at = self.now + self.rng.u64(n.sync_time.0..=n.sync_time.1);
+            self.schedule(at, Event::Synced { node, incarnation, number });
         }
         let n = &mut self.nodes[node];
-        let wake = if out.wake_at == Micros::MAX { Micros::MAX } else { out.wake_at.saturating_sub(n.ahead) };
-        if wake < n.wake {
-            n.wake = wake.max(self.now + 1);
-            let at = n.wake;
-            self.at(at, Event::Wake { node, life });
+        let wake =
+            if out.wake_at == Micros::MAX { Micros::MAX } else { out.wake_at.saturating_sub(n.clock_offset) };
+        if wake < n.wake_at {
+            n.wake_at = wake.max(self.now + 1);
+            let at = n.wake_at;
+            self.schedule(at, Event::Wake { node, incarnation });
         }
         let mut voted = false;
         for (to, message) in out.send {
             voted |= matches!(message, Message::VoteResponse { pre_vote: false, granted: true, .. });
             self.send(node, to, disk, &message);
         }
-        if voted && self.jumpy && !self.calm && self.rng.bool() {
+        if voted && self.restart_after_vote && !self.failures_stopped && self.rng.bool() {
             self.restart(node, MS, 4 * MS);
-        } else if keep {
+        } else if snapshot_due {
             let n = &self.nodes[node];
-            let (index, data) = (n.applied, pack(&n.state, self.pad));
+            let (index, data) = (n.applied, pack(&n.state, self.padding));
             self.input(node, Input::Snapshot { index, data });
         }
     }
 
     fn send(&mut self, from: usize, to: Member, disk: Disk, message: &Message) {
         let to = to.octets()[3] as usize - 1;
-        if self.cuts.contains(&(from, to)) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
-        let rough = self.rough && !self.calm;
-        if rough && self.rng.u8(..10) == 0 {
+        let lossy_network = self.lossy_network && !self.failures_stopped;
+        if lossy_network && self.rng.u8(..10) == 0 {
             return;
         }
-        let asks =
-            self.jumpy && !self.calm && matches!(message, Message::RequestVote { pre_vote: false, .. });
-        let copies = if asks { 3 } else { 1 + u8::from(rough && self.rng.u8(..8) == 0) };
+        let duplicates_request = self.restart_after_vote
+            && !self.failures_stopped
+            && matches!(message, Message::RequestVote { pre_vote: false, .. });
+        let copies =
+            if duplicates_request { 3 } else { 1 + u8::from(lossy_network && self.rng.u8(..8) == 0) };
         for _ in 0..copies {
-            let late = rough && self.rng.u8(..6) == 0;
-            let late = late || asks && self.rng.bool();
-            let delay = self.rng.u64(match (late, asks) {
+            let late = lossy_network && self.rng.u8(..6) == 0;
+            let late = late || duplicates_request && self.rng.bool();
+            let delay = self.rng.u64(match (late, duplicates_request) {
                 (true, true) => MS..=20 * MS,
                 (true, false) => MS..=400 * MS,
                 _ => MS / 2..=3 * MS,
             });
             let bytes = encode(disk, message);
             let mut sent = self.now;
-            if let Some(byte) = self.byte {
+            if let Some(us_per_byte) = self.us_per_byte {
                 let taken = self.links.entry((from, to)).or_default();
-                sent = sent.max(*taken) + (bytes.len() as f64 * byte) as Micros;
+                sent = sent.max(*taken) + (bytes.len() as f64 * us_per_byte) as Micros;
                 *taken = sent;
             }
-            self.at(sent + delay, Event::Deliver { to, from, bytes });
+            self.schedule(sent + delay, Event::Deliver { to, from, bytes });
         }
     }
 
     fn client(&mut self) {
         let pause = self.rng.u64(5..60) * MS;
-        self.at(self.now + pause, Event::Client);
+        self.schedule(self.now + pause, Event::Client);
         for _ in 0..self.rng.usize(1..4) {
             let any = self.rng.usize(..self.nodes.len());
             let leads = |n: &Node| n.consensus.as_ref().is_some_and(|r| r.role() == Role::Leader);
@@ -500,9 +508,9 @@
                 continue;
             }
             if self.rng.bool() {
-                self.input(node, Input::Propose { ticket, data: pack(&[ticket], self.pad) });
+                self.input(node, Input::Propose { ticket, data: pack(&[ticket], self.padding) });
             } else {
-                self.reads.insert((node, ticket), self.judge.acked_to);
+                self.reads.insert((node, ticket), self.checker.acked_index);
                 self.input(node, Input::Read { ticket });
             }
         }
@@ -515,9 +523,9 @@
             .max_by_key(|n| leads(&self.nodes[*n]))
     }
 
-    fn trouble(&mut self) {
+    fn inject_failure(&mut self) {
         let pause = self.rng.u64(50..700) * MS;
-        self.at(self.now + pause, Event::Trouble);
+        self.schedule(self.now + pause, Event::InjectFailure);
         let count = self.nodes.len();
         let node = match self.leader() {
             Some(leader) if self.rng.bool() => leader,
@@ -526,57 +534,57 @@
         let other = (node + self.rng.usize(1..count)) % count;
         for n in &mut self.nodes {
             if self.rng.bool() {
-                n.copy = (n.disk, n.saved.clone());
+                n.old_copy = (n.disk, n.saved.clone());
             }
         }
         match self.rng.u8(..21) {
-            16 | 20 => self.go_back(node),
+            16 | 20 => self.restore_old_copy(node),
             17 => {
-                // Two halves that only `node` hears, and that hear only `node`.
+                // Two halves that cannot reach each other; both still reach `node`.
                 let half = |n: usize| (n + count - node) % count <= count / 2;
                 let apart = |a: &usize, b: &usize| *a != node && *b != node && half(*a) != half(*b);
                 for a in 0..count {
-                    self.cuts.extend((0..count).filter(|b| apart(&a, b)).map(|b| (a, b)));
+                    self.cut_links.extend((0..count).filter(|b| apart(&a, b)).map(|b| (a, b)));
                 }
             }
             18 => {
-                // One way: nothing that it says arrives, or it hears nothing.
+                // A one-way cut: either nothing that it sends arrives, or it receives nothing.
                 let says = self.rng.bool();
                 let others = (0..count).filter(|o| *o != node);
-                self.cuts.extend(others.map(|o| if says { (node, o) } else { (o, node) }));
+                self.cut_links.extend(others.map(|o| if says { (node, o) } else { (o, node) }));
             }
             19 => {
                 let by = self.rng.u64(10..20_000) * MS;
-                self.nodes[node].ahead += by;
+                self.nodes[node].clock_offset += by;
                 self.input(node, Input::Tick);
             }
             0 => {
-                self.cuts.insert((node, other));
+                self.cut_links.insert((node, other));
             }
             1 => self.isolate(node),
-            2 | 3 => self.cuts.clear(),
+            2 | 3 => self.cut_links.clear(),
             4 => self.restart(node, 10 * MS, 2000 * MS),
             5 | 15 => {
-                // Power is lost everywhere; two that cannot hear each other may both ask for votes after it.
+                // All lose power. Two that cannot reach each other may both campaign afterwards.
                 let spread = self.rng.u64(6..60) * MS;
                 (0..count).for_each(|n| self.restart(n, 5 * MS, spread));
-                if self.jumpy || self.rng.bool() {
-                    self.cuts.extend([(node, other), (other, node)]);
+                if self.restart_after_vote || self.rng.bool() {
+                    self.cut_links.extend([(node, other), (other, node)]);
                 }
             }
             6 | 7 => self.wipe(node),
             8 => {
-                self.nodes[node].hung = true;
+                self.nodes[node].disk_hung = true;
                 let at = self.now + self.rng.u64(200..4000) * MS;
-                self.at(at, Event::Thaw { node });
+                self.schedule(at, Event::ResumeDisk { node });
             }
             9 => {
                 let all = self.rng.bool();
                 for n in (0..count).filter(|n| all || *n == node) {
-                    self.nodes[n].sync = (20 * MS, 200 * MS);
+                    self.nodes[n].sync_time = (20 * MS, 200 * MS);
                 }
             }
-            10 => self.rough = !self.rough,
+            10 => self.lossy_network = !self.lossy_network,
             11 => {
                 self.nodes[node].write = None;
                 self.input(node, Input::WriteFailed);
@@ -586,12 +594,11 @@
             }
             12 => self.input(node, Input::PrepareToStop),
             13 | 14 => {
-                // A leader is cut off; while it does not know yet, one that elected its successor loses its
-                // disk.
+                // A leader is cut off. Before it notices, a member that voted for its successor loses its disk.
                 if let Some(leader) = self.leader() {
-                    self.cuts.clear();
+                    self.cut_links.clear();
                     self.isolate(leader);
-                    self.at(self.now + MS, Event::Trap { leader });
+                    self.schedule(self.now + MS, Event::WipeVoterOfSuccessor { leader });
                 }
             }
             _ => {}
@@ -600,12 +607,12 @@
 
     fn isolate(&mut self, node: usize) {
         for other in (0..self.nodes.len()).filter(|o| *o != node) {
-            self.cuts.insert((node, other));
-            self.cuts.insert((other, node));
+            self.cut_links.insert((node, other));
+            self.cut_links.insert((other, node));
         }
     }
 
-    fn trap(&mut self, leader: usize) {
+    fn wipe_voter_of_successor(&mut self, leader: usize) {
         let leads = |n: usize| self.nodes[n].consensus.as_ref().is_some_and(|r| r.role() == Role::Leader);
         let others = (0..self.nodes.len()).filter(|n| *n != leader);
         let voters = match others.clone().find(|n| leads(*n)) {
@@ -613,70 +620,70 @@
             None => Vec::new(),
         };
         let leads = leads(leader);
-        if !leads || self.calm {
+        if !leads || self.failures_stopped {
             return;
         }
         if voters.is_empty() {
-            self.at(self.now + 5 * MS, Event::Trap { leader });
+            self.schedule(self.now + 5 * MS, Event::WipeVoterOfSuccessor { leader });
             return;
         }
         let node = voters[self.rng.usize(..voters.len())];
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         self.wipe(node);
-        if self.nodes[node].life == life {
+        if self.nodes[node].incarnation == incarnation {
             return;
         }
-        let life = self.nodes[node].life;
-        self.at(self.now + MS, Event::Start { node, life });
+        let incarnation = self.nodes[node].incarnation;
+        self.schedule(self.now + MS, Event::Start { node, incarnation });
         self.isolate(node);
-        self.cuts.remove(&(node, leader));
-        self.cuts.remove(&(leader, node));
+        self.cut_links.remove(&(node, leader));
+        self.cut_links.remove(&(leader, node));
     }
 
-    /// All troubles end; everybody must come together, and agree on all that was acknowledged.
-    fn settle(&mut self) {
-        self.calm = true;
-        self.cuts.clear();
+    /// Stops all failures, then checks that the group recovers and has all that was acknowledged.
+    fn recover_and_check(&mut self) {
+        self.failures_stopped = true;
+        self.cut_links.clear();
         for node in 0..self.nodes.len() {
-            self.step(Event::Thaw { node });
-            let out = self.nodes[node].consensus.as_ref().is_none_or(|r| r.role() == Role::Failed);
-            if out {
+            self.handle_event(Event::ResumeDisk { node });
+            let down = self.nodes[node].consensus.as_ref().is_none_or(|r| r.role() == Role::Failed);
+            if down {
                 self.restart(node, 0, 10 * MS);
             }
         }
         self.run(self.now + 5000 * MS);
-        if self.wrong.is_some() {
+        if self.violation.is_some() {
             return;
         }
-        let before = self.judge.acked.len();
+        let before = self.checker.acked.len();
         self.run(self.now + 1000 * MS);
-        // Nobody asks any more; what is under way comes to its end.
+        // No more client requests; those in progress finish.
         self.queue.retain(|Reverse((.., event))| *event != Event::Client);
         self.run(self.now + 500 * MS);
-        if self.wrong.is_some() {
+        if self.violation.is_some() {
             return;
         }
-        let mut wrong = |what: String| self.wrong.get_or_insert(what).clone();
-        if self.judge.acked.len() <= before {
-            wrong("nothing is acknowledged after calm".into());
+        let mut report = |what: String| self.violation.get_or_insert(what).clone();
+        if self.checker.acked.len() <= before {
+            report("nothing is acknowledged after the failures stopped".into());
         }
         let state = &self.nodes[0].state;
         for (at, node) in self.nodes.iter().enumerate() {
             let consensus = node.consensus.as_ref().expect("all run");
             if !consensus.is_voter() || !consensus.membership().contains(member(at), node.disk) {
-                wrong(format!("node {at} does not stand"));
+                report(format!("node {at} is no voter"));
             }
             if node.state != *state {
-                wrong(format!("node {at} has another state"));
+                report(format!("node {at} has another state"));
             }
         }
-        let there: BTreeSet<u64> = state.iter().copied().collect();
-        self.stalled = self.wrong.is_some();
-        if self.stalled {
+        let present: BTreeSet<u64> = state.iter().copied().collect();
+        self.not_recovered = self.violation.is_some();
+        if self.not_recovered {
             return;
         }
-        if let Some(gone) = self.judge.acked.iter().find(|ticket| !there.contains(ticket)) {
-            self.wrong = Some(format!("{gone} was acknowledged and is gone"));
+        if let Some(lost) = self.checker.acked.iter().find(|ticket| !present.contains(ticket)) {
+            self.violation = Some(format!("ticket {lost} was acknowledged and is lost"));
         }
     }
 }
@@ -689,47 +696,47 @@
     data.collect()
 }
 
-/// Each value in eight bytes, and as many more as `pad` says.
-fn pack(state: &[u64], pad: usize) -> Vec<u8> {
-    let one = |v: &u64| v.to_le_bytes().into_iter().chain(std::iter::repeat_n(0, pad));
+/// Encodes each value in eight bytes and `padding` zero bytes.
+fn pack(state: &[u64], padding: usize) -> Vec<u8> {
+    let one = |v: &u64| v.to_le_bytes().into_iter().chain(std::iter::repeat_n(0, padding));
     state.iter().flat_map(one).collect()
 }
 
-fn unpack(data: &[u8], pad: usize) -> Vec<u64> {
-    data.chunks(8 + pad).map(|c| u64::from_le_bytes(c[..8].try_into().expect("numbers"))).collect()
+fn unpack(data: &[u8], padding: usize) -> Vec<u64> {
+    data.chunks(8 + padding).map(|c| u64::from_le_bytes(c[..8].try_into().expect("numbers"))).collect()
 }
 
-/// What was seen, or what is wrong, and whether that is only that the group did not come back.
-type Played = Result<Seen, (bool, String)>;
+/// The coverage, or the violation and whether it is only that the group did not recover.
+type Outcome = Result<Coverage, (bool, String)>;
 
-fn play(seed: u64, fault: Option<Fault>) -> Played {
+fn run_seed(seed: u64, fault: Option<Fault>) -> Outcome {
     let mut sim = Sim::new(seed, fault);
     let until = sim.rng.u64(4000..8000) * MS;
     sim.run(until);
-    sim.settle();
-    if let Some(wrong) = sim.wrong {
-        return Err((sim.stalled, wrong));
+    sim.recover_and_check();
+    if let Some(violation) = sim.violation {
+        return Err((sim.not_recovered, violation));
     }
-    let (leaders, acked) = (sim.judge.leaders.len(), sim.judge.acked.len());
-    let committed = *sim.judge.committed.keys().last().expect("some");
-    Ok(Seen { leaders, acked, committed, ..sim.seen })
+    let (leaders, acked) = (sim.checker.leaders.len(), sim.checker.acked.len());
+    let committed = *sim.checker.committed.keys().last().expect("some");
+    Ok(Coverage { leaders, acked, committed, ..sim.coverage })
 }
 
-/// The seeds in parts, each on a thread of its own; until one is wrong, if that is all that is asked for.
-fn play_all(seeds: std::ops::Range<u64>, fault: Option<Fault>) -> Vec<(u64, Played)> {
+/// Runs the seeds on several threads. With an injected fault it stops at the first safety violation.
+fn run_seeds(seeds: std::ops::Range<u64>, fault: Option<Fault>) -> Vec<(u64, Outcome)> {
     let parts = 8;
     let caught = AtomicBool::new(false);
     let part = |p: u64| {
-        let mut played = Vec::new();
+        let mut outcomes = Vec::new();
         for seed in seeds.clone().filter(|s| s % parts == p) {
             if fault.is_some() && caught.load(Relaxed) {
                 break;
             }
-            let result = play(seed, fault);
+            let result = run_seed(seed, fault);
             caught.fetch_or(matches!(result, Err((false, _))), Relaxed);
-            played.push((seed, result));
+            outcomes.push((seed, result));
         }
-        played
+        outcomes
     };
     std::thread::scope(|scope| {
         let part = &part;
@@ -744,11 +751,11 @@
 }
 
 #[test]
-fn no_schedule_of_troubles_breaks_the_agreement_and_calm_brings_it_back() {
-    let played = play_all(seeds(240), None);
-    let mut sum = Seen::default();
+fn random_failures_never_break_agreement_and_the_group_recovers() {
+    let outcomes = run_seeds(seeds(240), None);
+    let mut sum = Coverage::default();
     let mut wrong = Vec::new();
-    for (seed, result) in played {
+    for (seed, result) in outcomes {
         match result {
             Ok(seen) => {
                 sum.leaders += seen.leaders;
@@ -780,9 +787,9 @@
     }
 }
 
-/// The judge is worth its name only if it sees what is planted.
+/// Shows that the checker detects violations: each injected fault has to be found.
 #[test]
-fn planted_faults_are_seen() {
+fn injected_faults_are_detected() {
     for fault in [
         Fault::AckBeforeSync,
         Fault::WipedDiskVotes,
@@ -791,73 +798,73 @@
         Fault::ForgetVote,
         Fault::ReadUnconfirmed,
     ] {
-        let played = play_all(seeds(2000), Some(fault));
-        let caught: Vec<&String> = played
+        let outcomes = run_seeds(seeds(2000), Some(fault));
+        let caught: Vec<&String> = outcomes
             .iter()
             .filter_map(|(_, r)| r.as_ref().err())
-            .filter(|(stalled, _)| !stalled)
+            .filter(|(not_recovered, _)| !not_recovered)
             .map(|(_, e)| e)
             .collect();
-        println!("{fault:?}: {} of {}, e.g. {:?}", caught.len(), played.len(), caught.first());
-        assert!(!caught.is_empty(), "{fault:?} is not seen in {} seeds", played.len());
+        println!("{fault:?}: {} of {}, e.g. {:?}", caught.len(), outcomes.len(), caught.first());
+        assert!(!caught.is_empty(), "{fault:?} is not detected in {} seeds", outcomes.len());
     }
 }
 
-/// Three founders, a leader, and no troubles but what the test makes.
-fn quiet(seed: u64) -> (Sim, usize) {
-    quiet_group(seed, 3)
+/// Three founders with a leader, and no failures but those that the test injects.
+fn three_members(seed: u64) -> (Sim, usize) {
+    fault_free_group(seed, 3)
 }
 
-fn quiet_group(seed: u64, members: usize) -> (Sim, usize) {
+fn fault_free_group(seed: u64, members: usize) -> (Sim, usize) {
     let mut sim = Sim::new(seed, None);
     sim.queue.clear();
-    (sim.founders, sim.calm, sim.timing) = (members, true, Timing::default());
+    (sim.founders, sim.failures_stopped, sim.timing) = (members, true, Timing::default());
     let founding = sim.founding();
     sim.nodes = (0..members).map(|_| Node::new(0, founding.clone())).collect();
-    (0..members).for_each(|node| sim.at(node as u64 * MS, Event::Start { node, life: 0 }));
-    sim.at(100 * MS, Event::Client);
+    (0..members).for_each(|node| sim.schedule(node as u64 * MS, Event::Start { node, incarnation: 0 }));
+    sim.schedule(100 * MS, Event::Client);
     sim.run(4000 * MS);
     let leader = sim.leader().expect("elected");
     (sim, leader)
 }
 
 #[test]
-fn a_member_that_flaps_or_is_cut_one_way_unseats_nobody() {
+fn a_member_that_restarts_often_or_is_cut_off_one_way_deposes_no_leader() {
     for seed in 0..8 {
-        let (mut sim, leader) = quiet(seed);
-        let (other, terms) = ((leader + 1) % 3, sim.judge.leaders.len());
+        let (mut sim, leader) = three_members(seed);
+        let (other, terms) = ((leader + 1) % 3, sim.checker.leaders.len());
         for cut in [(leader, other), (other, leader)] {
-            sim.cuts = BTreeSet::from([cut]);
+            sim.cut_links = BTreeSet::from([cut]);
             sim.run(sim.now + 5000 * MS);
         }
         for _ in 0..6 {
-            sim.cuts.clear();
+            sim.cut_links.clear();
             sim.isolate(other);
             sim.run(sim.now + 1200 * MS);
-            sim.cuts.clear();
+            sim.cut_links.clear();
             sim.restart(other, MS, 300 * MS);
             sim.run(sim.now + 700 * MS);
         }
-        assert_eq!((sim.leader(), sim.judge.leaders.len()), (Some(leader), terms), "seed {seed}");
-        assert_eq!(sim.wrong, None);
+        assert_eq!((sim.leader(), sim.checker.leaders.len()), (Some(leader), terms), "seed {seed}");
+        assert_eq!(sim.violation, None);
     }
 }
 
 #[test]
-fn a_leader_that_dies_or_whose_disk_hangs_is_followed_up_soon() {
+fn a_leader_that_crashes_or_whose_disk_hangs_is_soon_replaced() {
     for seed in 0..16 {
-        let (mut sim, leader) = quiet(seed);
+        let (mut sim, leader) = three_members(seed);
         let hangs = seed % 2 == 0;
         if hangs {
-            sim.nodes[leader].hung = true;
+            sim.nodes[leader].disk_hung = true;
         } else {
-            sim.end(leader);
+            sim.crash(leader);
         }
-        // The time that a disk is given, or the silence that is borne; then an election or two.
+        // The disk write limit or the election timeout, then time for an election or two.
         sim.run(sim.now + if hangs { 1500 * MS } else { 900 * MS } + 800 * MS);
         assert!(sim.leader().is_some_and(|l| l != leader), "seed {seed}");
-        let before = sim.judge.acked.len();
+        let before = sim.checker.acked.len();
         sim.run(sim.now + 300 * MS);
-        assert!(sim.judge.acked.len() > before && sim.wrong.is_none(), "seed {seed}");
+        assert!(sim.checker.acked.len() > before && sim.violation.is_none(), "seed {seed}");
     }
 }
--- a/crates/consensus/src/sim/catching_up.rs
+++ b/crates/consensus/src/sim/catching_up.rs
@@ -1,5 +1,6 @@
-//! Members that come back late, or new, on links that carry so much: how long and how many bytes it takes until they have
-//! all, what breaks in between, and that they never take up anything but what was committed.
+//! Members that come back after a while, or with an empty disk, over links of limited bandwidth: how long it takes and
+//! how many bytes are sent until they have caught up, with failures in between. They must never apply anything that
+//! wasn't committed.
 
 use crate::core::Fault;
 use crate::{
@@ -11,89 +12,99 @@
 
 const MS: Micros = 1000;
 const SECOND: Micros = 1000 * MS;
-/// What a frame costs beside its content.
-const FRAME: usize = 4 + 66;
+/// Bytes of a frame beside its content.
+const FRAME_OVERHEAD: usize = 4 + 66;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Deliver { to: usize, from: usize, life: u64, bytes: Vec<u8> },
-    Synced { node: usize, life: u64, number: u64 },
-    Wake { node: usize, life: u64 },
-    Start { node: usize, life: u64 },
+    Deliver { to: usize, from: usize, incarnation: u64, bytes: Vec<u8> },
+    Synced { node: usize, incarnation: u64, number: u64 },
+    Wake { node: usize, incarnation: u64 },
+    Start { node: usize, incarnation: u64 },
     Client,
 }
 
 struct Node {
-    life: u64,
+    incarnation: u64,
     disk: Disk,
     saved: PersistentState,
     consensus: Option<Replica>,
     write: Option<Write>,
-    wake: Micros,
+    wake_at: Micros,
     applied: u64,
-    /// Entries and their bytes since the last snapshot.
-    since: (u64, usize),
+    /// Number and bytes of the entries since the last snapshot.
+    since_snapshot: (u64, usize),
     syncs: usize,
-    /// What was acknowledged when it started, or began to lead: who says to be fresh shows no less.
-    least: u64,
-    leads: bool,
+    /// The highest index acknowledged when it started or became leader. If it claims to be up to date, it has at least
+    /// that.
+    acked_at_start: u64,
+    was_leader: bool,
 }
 
-/// How things are.
+/// The conditions of a run.
 #[derive(Clone, Copy)]
-struct Terms {
+struct Conditions {
+    /// Bandwidth and delay of a link.
     mbps: f64,
     delay: Micros,
+    /// How long a sync of a disk takes.
     sync: Micros,
-    /// Bytes of the host's state and of an entry, and between two entries.
+    /// Bytes of the host's state and of an entry, and the time between two entries.
     state: usize,
     entry: usize,
     pause: Micros,
     tail: u64,
 }
 
-const TERMS: Terms =
-    Terms { mbps: 1000.0, delay: MS, sync: 3 * MS, state: 60_000, entry: 2_000, pause: 50 * MS, tail: 256 };
+const DEFAULT_CONDITIONS: Conditions = Conditions {
+    mbps: 1000.0,
+    delay: MS,
+    sync: 3 * MS,
+    state: 60_000,
+    entry: 2_000,
+    pause: 50 * MS,
+    tail: 256,
+};
 
-/// What happens to a message on its way.
+/// How a message is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Luck {
-    Well,
+enum Delivery {
+    Normal,
     Lost,
-    Twice,
-    /// So much later than it should, and others overtake it.
-    Late(Micros),
+    Duplicated,
+    /// Later by this much, so that others overtake it.
+    Delayed(Micros),
 }
 
-type Lot = fn(&Message, usize) -> Luck;
+type DeliveryPolicy = fn(&Message, usize) -> Delivery;
 
-struct World {
-    terms: Terms,
+struct Cluster {
+    conditions: Conditions,
     now: Micros,
     seq: u64,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     nodes: Vec<Node>,
     fault: Option<Fault>,
-    /// When a link is free again, and the bytes that it has carried.
+    /// When each link is free again, and the bytes that it has carried.
     links: BTreeMap<(usize, usize), (Micros, u64)>,
-    /// The longest that a message waited for the link to be free.
-    waited: Micros,
-    luck: Lot,
+    /// The longest time that a message has waited for its link.
+    max_link_wait: Micros,
+    delivery_policy: DeliveryPolicy,
     sent: usize,
     committed: BTreeMap<u64, Entry>,
     acked: u64,
-    quiet: bool,
+    clients_idle: bool,
     ticket: u64,
     installed: usize,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
 fn member(node: usize) -> Member {
     Member::new(10, 0, 0, node as u8 + 1)
 }
 
-/// The state at `index` as `node` writes it: no two are alike anywhere, so that parts of two never make one.
-fn state(index: u64, node: u64, size: usize) -> Vec<u8> {
+/// The state at `index` as `node` writes it. No two states share a chunk, so mixing chunks of two snapshots is noticed.
+fn state_bytes(index: u64, node: u64, size: usize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(size + 8);
     let mut z = (index << 8 | node).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     bytes.extend(index.to_le_bytes());
@@ -105,46 +116,59 @@
     bytes
 }
 
-impl World {
-    /// Founders with a leader.
-    fn new(members: usize, terms: Terms, fault: Option<Fault>) -> World {
-        let mut world = World {
-            terms,
+impl Cluster {
+    /// A group of founders with a leader.
+    fn new(members: usize, conditions: Conditions, fault: Option<Fault>) -> Cluster {
+        let mut cluster = Cluster {
+            conditions,
             now: 0,
             seq: 0,
             queue: BinaryHeap::new(),
             nodes: Vec::new(),
             fault,
             links: BTreeMap::new(),
-            waited: 0,
-            luck: |_, _| Luck::Well,
+            max_link_wait: 0,
+            delivery_policy: |_, _| Delivery::Normal,
             sent: 0,
             committed: BTreeMap::new(),
             acked: 0,
-            quiet: true,
+            clients_idle: true,
             ticket: 0,
             installed: 0,
-            wrong: None,
+            violation: None,
         };
         for node in 0..members {
-            world.add(0, PersistentState::founding((0..members).map(member)));
-            world.start(node);
+            cluster.add(0, PersistentState::founding((0..members).map(member)));
+            cluster.start(node);
         }
-        world.at(0, Event::Client);
-        let led = world.until(20 * SECOND, |w| w.leader().is_some());
+        cluster.schedule(0, Event::Client);
+        let led = cluster.run_until(20 * SECOND, |w| w.leader().is_some());
         led.expect("a leader");
-        world
+        cluster
     }
 
     fn add(&mut self, disk: Disk, saved: PersistentState) -> usize {
-        let (consensus, write, wake) = (None, None, Micros::MAX);
-        let (life, applied, since, syncs, least, leads) = (0, 0, (0, 0), 0, 0, false);
-        let node = Node { life, disk, saved, consensus, write, wake, applied, since, syncs, least, leads };
+        let (consensus, write, wake_at) = (None, None, Micros::MAX);
+        let (incarnation, applied, since_snapshot, syncs, acked_at_start, was_leader) =
+            (0, 0, (0, 0), 0, 0, false);
+        let node = Node {
+            incarnation,
+            disk,
+            saved,
+            consensus,
+            write,
+            wake_at,
+            applied,
+            since_snapshot,
+            syncs,
+            acked_at_start,
+            was_leader,
+        };
         self.nodes.push(node);
         self.nodes.len() - 1
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((at, self.seq, event)));
     }
@@ -156,14 +180,14 @@
     }
 
     fn start(&mut self, node: usize) {
-        let life = self.nodes[node].life;
-        self.at(self.now, Event::Start { node, life });
+        let incarnation = self.nodes[node].incarnation;
+        self.schedule(self.now, Event::Start { node, incarnation });
     }
 
-    /// The process ends; `kept`: the write under way reached the disk.
-    fn end(&mut self, node: usize, kept: bool) {
+    /// The process ends; `kept` tells whether the write in progress reached the disk.
+    fn crash(&mut self, node: usize, kept: bool) {
         let n = &mut self.nodes[node];
-        n.life += 1;
+        n.incarnation += 1;
         n.consensus = None;
         if let Some(write) = n.write.take()
             && kept
@@ -172,45 +196,45 @@
         }
     }
 
-    fn step(&mut self) {
-        let Reverse((at, _, event)) = self.queue.pop().expect("clients ask on");
+    fn run_next_event(&mut self) {
+        let Reverse((at, _, event)) = self.queue.pop().expect("clients keep sending");
         self.now = at;
         match event {
-            Event::Deliver { to, from, life, bytes } => {
-                // What was under way to a process that ended goes nowhere.
-                if self.nodes[to].life == life {
+            Event::Deliver { to, from, incarnation, bytes } => {
+                // Messages to a process that has ended are lost.
+                if self.nodes[to].incarnation == incarnation {
                     let (from_disk, message) = crate::decode(&bytes).expect("as it was sent");
                     self.input(to, Input::Message { from: member(from), from_disk, message });
                 }
             }
-            Event::Synced { node, life, number } => {
+            Event::Synced { node, incarnation, number } => {
                 let n = &mut self.nodes[node];
-                if n.life == life {
+                if n.incarnation == incarnation {
                     n.write.take().expect("there").apply(&mut n.saved);
                     n.syncs += 1;
                     self.input(node, Input::Written { number });
                 }
             }
-            Event::Wake { node, life } => {
-                if self.nodes[node].life == life && self.nodes[node].wake <= self.now {
-                    self.nodes[node].wake = Micros::MAX;
+            Event::Wake { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].wake_at <= self.now {
+                    self.nodes[node].wake_at = Micros::MAX;
                     self.input(node, Input::Tick);
                 }
             }
-            Event::Start { node, life } => {
+            Event::Start { node, incarnation } => {
                 let n = &mut self.nodes[node];
-                if n.life != life || n.consensus.is_some() {
+                if n.incarnation != incarnation || n.consensus.is_some() {
                     return;
                 }
-                n.wake = Micros::MAX;
-                (n.applied, n.since) = (n.saved.snapshot.index, (0, 0));
-                (n.least, n.leads) = (self.acked, false);
+                n.wake_at = Micros::MAX;
+                (n.applied, n.since_snapshot) = (n.saved.snapshot.index, (0, 0));
+                (n.acked_at_start, n.was_leader) = (self.acked, false);
                 let timing = Timing {
-                    log_tail_entries: self.terms.tail,
+                    log_tail_entries: self.conditions.tail,
                     snapshot_chunk_bytes: 64 << 10,
                     ..Timing::default()
                 };
-                let seed = node as u64 + 7 * n.life;
+                let seed = node as u64 + 7 * n.incarnation;
                 let mut consensus =
                     Replica::new(member(node), n.disk, n.saved.clone(), seed, timing, self.now);
                 consensus.fault = self.fault;
@@ -219,8 +243,8 @@
                 self.input(node, Input::Seeds(seeds));
             }
             Event::Client => {
-                self.at(self.now + self.terms.pause, Event::Client);
-                if !self.quiet {
+                self.schedule(self.now + self.conditions.pause, Event::Client);
+                if !self.clients_idle {
                     self.propose();
                 }
             }
@@ -231,7 +255,7 @@
         let Some(leader) = self.leader() else { return };
         self.ticket += 1;
         let (ticket, mut data) = (self.ticket, self.ticket.to_le_bytes().to_vec());
-        data.resize(self.terms.entry.max(8), 0);
+        data.resize(self.conditions.entry.max(8), 0);
         self.input(leader, Input::Propose { ticket, data });
     }
 
@@ -239,35 +263,38 @@
         let mut out = Output::default();
         let Some(consensus) = &mut self.nodes[node].consensus else { return };
         consensus.handle(self.now, input, &mut out);
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         if let Some(snapshot) = &out.installed {
             self.installed += 1;
             let by = snapshot.data.get(8..16).and_then(|b| Some(u64::from_le_bytes(b.try_into().ok()?)));
-            if snapshot.data != state(snapshot.index, by.unwrap_or_default(), self.terms.state) {
-                self.wrong = Some(format!("node {node}: snapshot {} is not what was made", snapshot.index));
+            if snapshot.data != state_bytes(snapshot.index, by.unwrap_or_default(), self.conditions.state) {
+                self.violation =
+                    Some(format!("node {node}: snapshot {} is not what was made", snapshot.index));
             }
-            if snapshot.membership != self.memberships(snapshot.index) {
-                self.wrong =
-                    Some(format!("node {node} takes another membership with snapshot {}", snapshot.index));
+            if snapshot.membership != self.membership_at(snapshot.index) {
+                self.violation = Some(format!(
+                    "node {node} takes a different membership with snapshot {}",
+                    snapshot.index
+                ));
             }
             if snapshot.index < self.nodes[node].applied {
-                self.wrong = Some(format!("node {node} goes back to {}", snapshot.index));
+                self.violation = Some(format!("node {node} goes back to {}", snapshot.index));
             }
-            (self.nodes[node].applied, self.nodes[node].since) = (snapshot.index, (0, 0));
+            (self.nodes[node].applied, self.nodes[node].since_snapshot) = (snapshot.index, (0, 0));
         }
         for entry in out.committed {
             let n = &mut self.nodes[node];
             if entry.index != n.applied + 1 {
-                self.wrong = Some(format!("node {node} applies {} after {}", entry.index, n.applied));
+                self.violation = Some(format!("node {node} applies {} after {}", entry.index, n.applied));
             }
             n.applied = entry.index;
-            n.since.0 += 1;
+            n.since_snapshot.0 += 1;
             if let Payload::Data(data) = &entry.payload {
-                n.since.1 += data.len();
+                n.since_snapshot.1 += data.len();
             }
             let first = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
-                self.wrong = Some(format!("node {node} has another entry {}", entry.index));
+                self.violation = Some(format!("node {node} has another entry {}", entry.index));
             }
         }
         for (_, result) in out.proposed {
@@ -276,30 +303,35 @@
         if let Some(write) = out.write {
             let number = write.number;
             self.nodes[node].write = Some(write);
-            self.at(self.now + self.terms.sync, Event::Synced { node, life, number });
+            self.schedule(self.now + self.conditions.sync, Event::Synced { node, incarnation, number });
         }
-        if out.wake_at < self.nodes[node].wake {
+        if out.wake_at < self.nodes[node].wake_at {
             let at = out.wake_at.max(self.now + 1);
-            self.nodes[node].wake = at;
-            self.at(at, Event::Wake { node, life });
+            self.nodes[node].wake_at = at;
+            self.schedule(at, Event::Wake { node, incarnation });
         }
         let disk = self.nodes[node].disk;
         for (to, message) in out.send {
             self.check_ack(node, &message);
             self.send(node, to, disk, &message);
         }
-        self.check_fresh(node);
-        // As a store does it.
+        self.check_up_to_date(node);
+        // Takes a snapshot by the same rule as the config store.
         let n = &self.nodes[node];
-        if n.since.0 >= 256 || n.since.1 >= 4 * crate::snapshot_threshold(self.terms.state) {
+        if n.since_snapshot.0 >= 256
+            || n.since_snapshot.1 >= 4 * crate::snapshot_threshold(self.conditions.state)
+        {
             let index = n.applied;
-            self.nodes[node].since = (0, 0);
-            self.input(node, Input::Snapshot { index, data: state(index, node as u64, self.terms.state) });
+            self.nodes[node].since_snapshot = (0, 0);
+            self.input(
+                node,
+                Input::Snapshot { index, data: state_bytes(index, node as u64, self.conditions.state) },
+            );
         }
     }
 
-    /// The roster that counts after entry `index`.
-    fn memberships(&self, index: u64) -> Membership {
+    /// The membership in force after entry `index`.
+    fn membership_at(&self, index: u64) -> Membership {
         let founders = Membership { members: (0..3).map(|n| (member(n), 0)).collect() };
         let made = self.committed.range(..=index).rev().find_map(|(_, e)| match &e.payload {
             Payload::Membership(membership) | Payload::Joint { new: membership, .. } => {
@@ -310,33 +342,36 @@
         made.unwrap_or(founders)
     }
 
-    /// What is acknowledged is on disk.
+    /// Checks that what is acknowledged is on disk.
     fn check_ack(&mut self, node: usize, message: &Message) {
-        let there = self.nodes[node].saved.last_index();
+        let on_disk = self.nodes[node].saved.last_index();
         if let Message::AppendResponse { success: true, match_index, .. } = message
-            && *match_index > there
+            && *match_index > on_disk
         {
-            self.wrong = Some(format!("node {node} acknowledges {match_index}, its disk has {there}"));
+            self.violation = Some(format!("node {node} acknowledges {match_index}, its disk has {on_disk}"));
         }
     }
 
-    /// Who says to hold all that was acknowledged until lately, as a store judges it, does. Who stands knows a group.
-    fn check_fresh(&mut self, node: usize) {
+    /// Checks that a member that claims to have all that was recently acknowledged, by the rule of the config store,
+    /// has it, and that a voter has a membership.
+    fn check_up_to_date(&mut self, node: usize) {
         let (acked, n) = (self.acked, &mut self.nodes[node]);
         let Some(r) = &n.consensus else { return };
         let leads = r.role() == Role::Leader;
-        if leads && !n.leads {
-            n.least = acked;
+        if leads && !n.was_leader {
+            n.acked_at_start = acked;
         }
-        n.leads = leads;
-        let fresh =
+        n.was_leader = leads;
+        let up_to_date =
             r.leader().is_some() && r.is_voter() && r.knows_leader_commit() && n.applied >= r.leader_commit();
-        if fresh && n.applied < n.least {
-            self.wrong =
-                Some(format!("node {node} says fresh at {}, {} was acknowledged", n.applied, n.least));
+        if up_to_date && n.applied < n.acked_at_start {
+            self.violation = Some(format!(
+                "node {node} claims to be up to date at {}, {} was acknowledged",
+                n.applied, n.acked_at_start
+            ));
         }
         if r.is_voter() && r.membership().members.is_empty() {
-            self.wrong = Some(format!("node {node} stands and knows no group"));
+            self.violation = Some(format!("node {node} is a voter without a membership"));
         }
     }
 
@@ -347,112 +382,118 @@
         }
         let bytes = encode(disk, message);
         self.sent += 1;
-        let luck = (self.luck)(message, self.sent);
-        let copies = match luck {
-            Luck::Lost => 0,
-            Luck::Twice => 2,
-            Luck::Well | Luck::Late(_) => 1,
+        let delivery = (self.delivery_policy)(message, self.sent);
+        let copies = match delivery {
+            Delivery::Lost => 0,
+            Delivery::Duplicated => 2,
+            Delivery::Normal | Delivery::Delayed(_) => 1,
         };
-        let late = if let Luck::Late(by) = luck { by } else { 0 };
+        let late = if let Delivery::Delayed(by) = delivery { by } else { 0 };
         for _ in 0..copies {
-            let size = bytes.len() + FRAME;
+            let size = bytes.len() + FRAME_OVERHEAD;
             let (free, carried) = self.links.entry((from, to)).or_default();
-            self.waited = self.waited.max(free.saturating_sub(self.now));
-            *free = (*free).max(self.now) + (size as f64 * 8.0 / self.terms.mbps) as Micros;
+            self.max_link_wait = self.max_link_wait.max(free.saturating_sub(self.now));
+            *free = (*free).max(self.now) + (size as f64 * 8.0 / self.conditions.mbps) as Micros;
             *carried += size as u64;
-            let at = *free + self.terms.delay + late;
-            let life = self.nodes[to].life;
-            self.at(at, Event::Deliver { to, from, life, bytes: bytes.clone() });
+            let at = *free + self.conditions.delay + late;
+            let incarnation = self.nodes[to].incarnation;
+            self.schedule(at, Event::Deliver { to, from, incarnation, bytes: bytes.clone() });
         }
     }
 
     fn run(&mut self, us: Micros) {
         let until = self.now + us;
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            self.step();
+            self.run_next_event();
         }
         self.now = until;
     }
 
-    /// How long it takes.
-    fn until(&mut self, most: Micros, done: impl Fn(&World) -> bool) -> Result<Micros, String> {
+    /// Runs until `done`, and returns how long that took.
+    fn run_until(&mut self, limit: Micros, done: impl Fn(&Cluster) -> bool) -> Result<Micros, String> {
         let from = self.now;
         while !done(self) {
-            if let Some(wrong) = &self.wrong {
+            if let Some(wrong) = &self.violation {
                 return Err(wrong.clone());
             }
-            if self.now > from + most {
-                return Err(format!("not within {} ms", most / MS));
+            if self.now > from + limit {
+                return Err(format!("not within {} ms", limit / MS));
             }
-            self.step();
+            self.run_next_event();
         }
-        self.wrong.clone().map_or(Ok(self.now - from), Err)
+        self.violation.clone().map_or(Ok(self.now - from), Err)
     }
 
-    /// Makes so many changes.
-    fn change(&mut self, count: u64) {
+    /// Proposes `count` changes and waits until they are acknowledged.
+    fn make_changes(&mut self, count: u64) {
         let target = self.acked + count;
         for _ in 0..count {
             self.propose();
             self.run(10 * MS);
         }
-        self.until(120 * SECOND, |w| w.acked >= target).expect("acknowledged");
+        self.run_until(120 * SECOND, |w| w.acked >= target).expect("acknowledged");
     }
 
-    fn carried(&self, to: usize) -> u64 {
+    fn bytes_sent_to(&self, to: usize) -> u64 {
         self.links.iter().filter(|((_, t), _)| *t == to).map(|(_, (_, bytes))| *bytes).sum()
     }
 
-    /// It has all that is committed, a few entries that are under way excepted, and stands.
-    fn level(&self, node: usize) -> bool {
+    /// Whether it is a voter and has all that is committed, except for a few entries in flight.
+    fn is_caught_up(&self, node: usize) -> bool {
         let Some(consensus) = &self.nodes[node].consensus else { return false };
         let top = self.committed.last_key_value().map_or(0, |(index, _)| *index);
         consensus.is_voter() && self.nodes[node].applied + 16 >= top && consensus.leader().is_some()
     }
 }
 
-/// A follower of three, down while `changes` are made, comes back. How long until it has all, in ms, and the bytes to it.
-fn returns(changes: u64, terms: Terms) -> Result<(Micros, u64), String> {
-    let mut w = World::new(3, Terms { mbps: 1000.0, ..terms }, None);
-    w.change(5);
+/// A follower of three members is down while `changes` are made and comes back. Returns the time in ms until it has
+/// caught up, and the bytes sent to it.
+fn restart_after_changes(changes: u64, conditions: Conditions) -> Result<(Micros, u64), String> {
+    let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, None);
+    w.make_changes(5);
     let node = (w.leader().expect("leads") + 1) % 3;
-    w.end(node, false);
-    w.change(changes);
+    w.crash(node, false);
+    w.make_changes(changes);
     let target = w.acked;
-    w.terms.mbps = terms.mbps;
-    let before = w.carried(node);
+    w.conditions.mbps = conditions.mbps;
+    let before = w.bytes_sent_to(node);
     w.start(node);
-    let time = w.until(600 * SECOND, |w| w.nodes[node].applied >= target && w.level(node))?;
-    Ok((time / MS, w.carried(node) - before))
+    let time = w.run_until(600 * SECOND, |w| w.nodes[node].applied >= target && w.is_caught_up(node))?;
+    Ok((time / MS, w.bytes_sent_to(node) - before))
 }
 
-fn joins(terms: Terms, fault: Option<Fault>, most: Micros) -> Result<(Micros, u64, World), String> {
-    let mut w = World::new(3, Terms { mbps: 1000.0, ..terms }, fault);
-    w.change(600);
+fn join_with_empty_disk(
+    conditions: Conditions,
+    fault: Option<Fault>,
+    limit: Micros,
+) -> Result<(Micros, u64, Cluster), String> {
+    let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, fault);
+    w.make_changes(600);
     let leader = w.leader().expect("leads");
     let node = (leader + 1) % 3;
-    w.end(node, false);
+    w.crash(node, false);
     w.nodes[node].disk = 4711;
     w.nodes[node].saved = PersistentState::empty();
-    (w.terms.mbps, w.quiet) = (terms.mbps, false);
-    let before = w.carried(node);
+    (w.conditions.mbps, w.clients_idle) = (conditions.mbps, false);
+    let before = w.bytes_sent_to(node);
     w.start(node);
-    let time = w.until(most, |w| w.level(node))?;
-    let bytes = w.carried(node) - before;
+    let time = w.run_until(limit, |w| w.is_caught_up(node))?;
+    let bytes = w.bytes_sent_to(node) - before;
     Ok((time / MS, bytes, w))
 }
 
-/// A state in many parts, on a link that takes seconds for it.
-const LARGE: Terms = Terms { mbps: 4.0, delay: 10 * MS, state: 2_000_000, entry: 300, ..TERMS };
+/// A state of many chunks, over a link that takes seconds for it.
+const LARGE_STATE: Conditions =
+    Conditions { mbps: 4.0, delay: 10 * MS, state: 2_000_000, entry: 300, ..DEFAULT_CONDITIONS };
 
 #[test]
-fn what_a_member_that_was_away_is_sent_does_not_grow_with_the_changes() {
+fn bytes_sent_to_a_returning_member_do_not_grow_with_the_changes() {
     for (state, entry) in [(60_000, 300), (60_000, 60_000), (500_000, 300)] {
         for changes in [10, 100, 300, 1000] {
-            let terms = Terms { mbps: 4.0, state, entry, delay: 10 * MS, ..TERMS };
-            let (ms, bytes) =
-                returns(changes, terms).unwrap_or_else(|e| panic!("{state} {entry} {changes}: {e}"));
-            // The snapshot, what may come after it before the next one is made, and the tail before it.
+            let conditions = Conditions { mbps: 4.0, state, entry, delay: 10 * MS, ..DEFAULT_CONDITIONS };
+            let (ms, bytes) = restart_after_changes(changes, conditions)
+                .unwrap_or_else(|e| panic!("{state} {entry} {changes}: {e}"));
+            // The snapshot, the entries after it until the next one is made, and the log tail before it.
             let most = state as u64 + 5 * crate::snapshot_threshold(state) as u64 + 20_000;
             assert!(bytes < most, "{state} {entry} {changes}: {bytes} bytes");
             assert!(ms < 1000 + most * 8 / 4000, "{state} {entry} {changes}: {ms} ms");
@@ -463,222 +504,226 @@
 #[test]
 fn a_transfer_ends_while_changes_go_on_and_newer_snapshots_are_made() {
     for mbps in [1.0, 4.0] {
-        let terms = Terms { mbps, ..LARGE };
-        let least_ms = terms.state as u64 * 8 / (mbps * 1000.0) as u64;
-        let (ms, bytes, _) = joins(terms, None, 60 * SECOND).expect("level");
+        let conditions = Conditions { mbps, ..LARGE_STATE };
+        let least_ms = conditions.state as u64 * 8 / (mbps * 1000.0) as u64;
+        let (ms, bytes, _) = join_with_empty_disk(conditions, None, 60 * SECOND).expect("caught up");
         assert!(ms < least_ms * 3 / 2, "{ms} ms");
-        assert!(bytes < terms.state as u64 * 3 / 2, "{bytes} bytes");
+        assert!(bytes < conditions.state as u64 * 3 / 2, "{bytes} bytes");
     }
-    let faulty = Terms { mbps: 1.0, ..LARGE };
-    let e = joins(faulty, Some(Fault::TransferRestarts), 60 * SECOND).err().expect("never");
+    let faulty = Conditions { mbps: 1.0, ..LARGE_STATE };
+    let e = join_with_empty_disk(faulty, Some(Fault::TransferRestarts), 60 * SECOND).err().expect("never");
     assert!(e.contains("not within"), "{e}");
 }
 
-/// A follower of three comes back after hundreds of changes while there are more, and hears of its leader by a link that
-/// takes seconds for its state.
-fn back(terms: Terms, fault: Option<Fault>) -> (World, usize) {
-    let mut w = World::new(3, Terms { mbps: 1000.0, ..terms }, fault);
-    w.change(5);
+/// A follower of three members comes back after hundreds of changes, while more are made, over a link that takes
+/// seconds for the state.
+fn restart_behind(conditions: Conditions, fault: Option<Fault>) -> (Cluster, usize) {
+    let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, fault);
+    w.make_changes(5);
     let node = (w.leader().expect("leads") + 1) % 3;
-    w.end(node, false);
-    w.change(600);
-    (w.terms.mbps, w.quiet) = (terms.mbps, false);
+    w.crash(node, false);
+    w.make_changes(600);
+    (w.conditions.mbps, w.clients_idle) = (conditions.mbps, false);
     w.start(node);
     (w, node)
 }
 
 #[test]
-fn a_slow_link_unseats_nobody_and_loses_nothing_of_a_transfer() {
-    let (mut w, node) = back(Terms { mbps: 0.5, state: 500_000, ..LARGE }, None);
+fn a_slow_link_deposes_no_leader_and_loses_nothing_of_a_transfer() {
+    let (mut w, node) = restart_behind(Conditions { mbps: 0.5, state: 500_000, ..LARGE_STATE }, None);
     let (leader, term) = (w.leader(), w.nodes[node].saved.hard.term);
-    let us = w.until(30 * SECOND, |w| w.level(node)).expect("level");
-    // 8 s for the state, and what else is said.
+    let us = w.run_until(30 * SECOND, |w| w.is_caught_up(node)).expect("caught up");
+    // 8 s for the state, and the other messages.
     assert!(us < 14 * SECOND, "{us}");
     assert_eq!((w.leader(), w.nodes[node].saved.hard.term), (leader, term));
 }
 
 #[test]
-fn what_waits_for_a_slow_link_is_bounded() {
-    // 100 entries of 20 KB that no snapshot makes up for, and a state in many parts.
+fn bytes_queued_for_a_slow_link_are_bounded() {
+    // 100 entries of 20 KB, fewer than call for a snapshot, and a state of many chunks.
     for (state, changes) in [(2_000_000, 100), (2_000_000, 600)] {
-        let terms = Terms { mbps: 4.0, entry: 20_000, state, pause: SECOND, ..LARGE };
-        let mut w = World::new(3, Terms { mbps: 1000.0, ..terms }, None);
-        w.change(5);
+        let conditions = Conditions { mbps: 4.0, entry: 20_000, state, pause: SECOND, ..LARGE_STATE };
+        let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, None);
+        w.make_changes(5);
         let node = (w.leader().expect("leads") + 1) % 3;
-        w.end(node, false);
-        w.change(changes);
-        (w.terms.mbps, w.waited, w.links) = (4.0, 0, BTreeMap::new());
+        w.crash(node, false);
+        w.make_changes(changes);
+        (w.conditions.mbps, w.max_link_wait, w.links) = (4.0, 0, BTreeMap::new());
         w.start(node);
-        w.until(60 * SECOND, |w| w.level(node)).expect("level");
-        assert!(w.waited < 800 * MS, "{changes}: {} us", w.waited);
+        w.run_until(60 * SECOND, |w| w.is_caught_up(node)).expect("caught up");
+        assert!(w.max_link_wait < 800 * MS, "{changes}: {} us", w.max_link_wait);
     }
 }
 
-/// Of its parts, and the answers to them, some are lost, some come twice and some are overtaken.
+/// Some of the chunks and of the responses to them are lost, duplicated or reordered.
 #[test]
-fn parts_that_are_lost_doubled_or_overtaken_harm_nothing() {
-    let lots: [Lot; 4] = [
+fn chunks_that_are_lost_duplicated_or_reordered_do_no_harm() {
+    let policies: [DeliveryPolicy; 4] = [
         |m, n| match m {
-            Message::SnapshotChunk { .. } if n % 3 == 0 => Luck::Lost,
-            _ => Luck::Well,
+            Message::SnapshotChunk { .. } if n % 3 == 0 => Delivery::Lost,
+            _ => Delivery::Normal,
         },
         |m, n| match m {
             Message::SnapshotChunk { .. } | Message::SnapshotChunkResponse { .. } if n % 2 == 0 => {
-                Luck::Twice
+                Delivery::Duplicated
             }
-            _ => Luck::Well,
+            _ => Delivery::Normal,
         },
         |m, n| match m {
             Message::SnapshotChunk { .. } | Message::AppendResponse { .. } if n % 5 == 0 => {
-                Luck::Late(700 * MS)
+                Delivery::Delayed(700 * MS)
             }
-            _ => Luck::Well,
+            _ => Delivery::Normal,
         },
         |m, n| match m {
-            Message::SnapshotChunkResponse { .. } if n % 2 == 0 => Luck::Lost,
+            Message::SnapshotChunkResponse { .. } if n % 2 == 0 => Delivery::Lost,
             Message::AppendEntries { .. } | Message::SnapshotChunk { .. } if n % 7 == 0 => {
-                Luck::Late(300 * MS)
+                Delivery::Delayed(300 * MS)
             }
-            _ => Luck::Well,
+            _ => Delivery::Normal,
         },
     ];
-    for (at, lot) in lots.into_iter().enumerate() {
-        let (mut w, node) = back(Terms { mbps: 10.0, ..LARGE }, None);
-        w.luck = lot;
-        let level = w.until(90 * SECOND, |w| w.level(node) && w.installed > 0);
-        level.unwrap_or_else(|e| panic!("lot {at}: {e}"));
+    for (at, policy) in policies.into_iter().enumerate() {
+        let (mut w, node) = restart_behind(Conditions { mbps: 10.0, ..LARGE_STATE }, None);
+        w.delivery_policy = policy;
+        let result = w.run_until(90 * SECOND, |w| w.is_caught_up(node) && w.installed > 0);
+        result.unwrap_or_else(|e| panic!("policy {at}: {e}"));
     }
 }
 
-/// The leader ends while a part of its snapshot has come; the next one's is another.
-fn changes_hands(fault: Option<Fault>) -> Result<(), String> {
+/// The leader crashes when a part of its snapshot has been received. The next leader's snapshot is a different one.
+fn leader_restarts_during_transfer(fault: Option<Fault>) -> Result<(), String> {
     for point in 1..12 {
-        let (mut w, node) = back(LARGE, fault);
+        let (mut w, node) = restart_behind(LARGE_STATE, fault);
         w.run(point * 400 * MS);
         let leader = w.leader().expect("leads");
-        w.end(leader, true);
+        w.crash(leader, true);
         w.run(100 * MS);
         w.start(leader);
-        w.until(60 * SECOND, |w| w.level(node) && w.level(leader)).map_err(|e| format!("{point}: {e}"))?;
+        w.run_until(60 * SECOND, |w| w.is_caught_up(node) && w.is_caught_up(leader))
+            .map_err(|e| format!("{point}: {e}"))?;
     }
     Ok(())
 }
 
 #[test]
 fn a_transfer_survives_its_leader_and_never_mixes_two_snapshots() {
-    changes_hands(None).expect("level");
-    let e = changes_hands(Some(Fault::ChunksMixed)).expect_err("seen");
+    leader_restarts_during_transfer(None).expect("caught up");
+    let e = leader_restarts_during_transfer(Some(Fault::ChunksMixed)).expect_err("detected");
     assert!(e.contains("is not what was made"), "{e}");
 }
 
-/// A disk takes another's place while a member is down: it learns of that by a snapshot alone. Of five, as an old roster
-/// of three does not do without the member.
+/// A disk is replaced while a member is down, which learns of that only from a snapshot. There are five members, as an
+/// old membership of three has no majority without the member.
 #[test]
-fn a_snapshot_brings_the_roster_along() {
-    let replaced = |fault| {
-        let mut w = World::new(5, TERMS, fault);
-        w.change(5);
+fn a_snapshot_carries_the_membership() {
+    let with_replaced_disk = |fault| {
+        let mut w = Cluster::new(5, DEFAULT_CONDITIONS, fault);
+        w.make_changes(5);
         let leader = w.leader().expect("leads");
         let (node, other) = ((leader + 1) % 5, (leader + 2) % 5);
-        w.end(node, false);
-        w.end(other, false);
+        w.crash(node, false);
+        w.crash(other, false);
         (w.nodes[other].disk, w.nodes[other].saved) = (4711, PersistentState::empty());
         w.start(other);
-        w.until(20 * SECOND, |w| w.level(other))?;
-        w.change(600);
+        w.run_until(20 * SECOND, |w| w.is_caught_up(other))?;
+        w.make_changes(600);
         w.start(node);
-        w.until(20 * SECOND, |w| w.level(node))?;
+        w.run_until(20 * SECOND, |w| w.is_caught_up(node))?;
         let consensus = w.nodes[node].consensus.as_ref().expect("runs");
         Ok(consensus.membership().contains(member(other), 4711))
     };
-    assert_eq!(replaced(None), Ok(true));
-    let e: String = replaced(Some(Fault::SnapshotMembershipLost)).expect_err("seen");
-    assert!(e.contains("takes another membership"), "{e}");
+    assert_eq!(with_replaced_disk(None), Ok(true));
+    let e: String = with_replaced_disk(Some(Fault::SnapshotMembershipLost)).expect_err("detected");
+    assert!(e.contains("takes a different membership"), "{e}");
 }
 
-/// Its power is lost at each of its syncs in turn, from its start until it is level, and in the middle of the transfer.
-fn cut_off_at_each_sync(fault: Option<Fault>) -> Result<usize, String> {
+/// Power is lost at each sync in turn, from the start of the member until it has caught up, and in the middle of the
+/// transfer.
+fn interrupt_at_each_sync(fault: Option<Fault>) -> Result<usize, String> {
     let mut cuts = 0;
     for point in 0..40 {
-        let terms = Terms { mbps: 20.0, delay: 2 * MS, state: 500_000, ..LARGE };
-        let (mut w, node) = back(terms, fault);
+        let conditions = Conditions { mbps: 20.0, delay: 2 * MS, state: 500_000, ..LARGE_STATE };
+        let (mut w, node) = restart_behind(conditions, fault);
         if point < 32 {
             let syncs = point / 2;
-            w.until(20 * SECOND, |w| w.nodes[node].write.is_some() && w.nodes[node].syncs >= syncs)?;
+            w.run_until(20 * SECOND, |w| w.nodes[node].write.is_some() && w.nodes[node].syncs >= syncs)?;
         } else {
             w.run((point as u64 - 31) * 25 * MS);
         }
-        cuts += usize::from(!w.level(node));
-        w.end(node, point % 2 == 0);
+        cuts += usize::from(!w.is_caught_up(node));
+        w.crash(node, point % 2 == 0);
         w.run(30 * MS);
         w.start(node);
-        w.until(20 * SECOND, |w| w.level(node)).map_err(|e| format!("{point}: {e}"))?;
-        // The others may go: what it acknowledged is there.
+        w.run_until(20 * SECOND, |w| w.is_caught_up(node)).map_err(|e| format!("{point}: {e}"))?;
+        // Another member may crash now: what this one acknowledged is on its disk.
         let leader = w.leader().expect("leads");
-        w.end(leader, false);
+        w.crash(leader, false);
         let acked = w.acked;
-        w.until(20 * SECOND, |w| w.acked > acked + 5).map_err(|e| format!("{point}, then: {e}"))?;
+        w.run_until(20 * SECOND, |w| w.acked > acked + 5).map_err(|e| format!("{point}, then: {e}"))?;
     }
     Ok(cuts)
 }
 
 #[test]
-fn an_install_that_is_cut_off_at_any_sync_is_taken_up_again() {
-    let cuts = cut_off_at_each_sync(None).expect("level");
-    assert!(cuts > 12, "{cuts} fell before it was level");
-    let e = cut_off_at_each_sync(Some(Fault::AckInstallBeforeSync)).expect_err("seen");
+fn a_snapshot_install_interrupted_at_any_sync_is_resumed() {
+    let cuts = interrupt_at_each_sync(None).expect("caught up");
+    assert!(cuts > 12, "{cuts} happened before it had caught up");
+    let e = interrupt_at_each_sync(Some(Fault::AckInstallBeforeSync)).expect_err("detected");
     assert!(e.contains("its disk has"), "{e}");
 }
 
-/// Started again while a transfer is on its way, it hears parts of a snapshot first: they do not say what counts.
+/// A member that restarts during a transfer first receives snapshot chunks, which don't tell what is committed.
 #[test]
-fn nobody_says_to_be_fresh_with_what_it_had_when_it_ended() {
-    let restarted = |fault| {
+fn no_restarted_member_claims_to_be_up_to_date_with_its_old_state() {
+    let restart_during_transfer = |fault| {
         for point in 0..12 {
-            let terms = Terms { mbps: 2.0, delay: 60 * MS, state: 500_000, ..LARGE };
-            let (mut w, node) = back(terms, fault);
+            let conditions = Conditions { mbps: 2.0, delay: 60 * MS, state: 500_000, ..LARGE_STATE };
+            let (mut w, node) = restart_behind(conditions, fault);
             w.run(1000 * MS + point * 37 * MS);
-            w.end(node, false);
+            w.crash(node, false);
             w.start(node);
-            w.until(60 * SECOND, |w| w.level(node))?;
+            w.run_until(60 * SECOND, |w| w.is_caught_up(node))?;
         }
         Ok(())
     };
-    restarted(None).expect("level");
-    let e: String = restarted(Some(Fault::FreshFromChunks)).expect_err("seen");
-    assert!(e.contains("says fresh at"), "{e}");
-    // One that begins to lead holds all, and knows of none of it that it counts, until an entry of its own does.
-    let followed = |fault| {
+    restart_during_transfer(None).expect("caught up");
+    let e: String = restart_during_transfer(Some(Fault::FreshFromChunks)).expect_err("detected");
+    assert!(e.contains("claims to be up to date at"), "{e}");
+    // A new leader has all entries, but doesn't know that they are committed until an entry of its own term is.
+    let with_new_leaders = |fault| {
         for point in 0..20 {
-            let mut w = World::new(3, Terms { delay: 5 * MS, pause: 3 * MS, ..TERMS }, fault);
-            w.quiet = false;
+            let mut w =
+                Cluster::new(3, Conditions { delay: 5 * MS, pause: 3 * MS, ..DEFAULT_CONDITIONS }, fault);
+            w.clients_idle = false;
             w.run(2 * SECOND + point * 7 * MS);
             let (leader, acked) = (w.leader().expect("leads"), w.acked);
-            w.end(leader, false);
-            w.until(20 * SECOND, |w| w.acked > acked)?;
+            w.crash(leader, false);
+            w.run_until(20 * SECOND, |w| w.acked > acked)?;
         }
         Ok(())
     };
-    followed(None).expect("goes on");
-    let e: String = followed(Some(Fault::FreshFromChunks)).expect_err("seen");
-    assert!(e.contains("says fresh at"), "{e}");
+    with_new_leaders(None).expect("goes on");
+    let e: String = with_new_leaders(Some(Fault::FreshFromChunks)).expect_err("detected");
+    assert!(e.contains("claims to be up to date at"), "{e}");
 }
 
-/// An old copy of its disk is put back under a follower: the leader, who knows what it had, brings it up to date again.
+/// A follower's disk is replaced by an old copy. The same leader, which remembers the later acknowledgements, brings it
+/// up to date again.
 #[test]
-fn a_member_whose_disk_went_back_is_brought_up_to_date_by_the_same_leader() {
+fn a_member_with_a_restored_old_disk_is_brought_up_to_date_by_the_same_leader() {
     for changes in [20, 700] {
-        let mut w = World::new(3, TERMS, None);
-        w.change(30);
+        let mut w = Cluster::new(3, DEFAULT_CONDITIONS, None);
+        w.make_changes(30);
         let leader = w.leader().expect("leads");
         let node = (leader + 1) % 3;
         let copy = w.nodes[node].saved.clone();
-        w.change(changes);
-        w.end(node, true);
+        w.make_changes(changes);
+        w.crash(node, true);
         w.nodes[node].saved = copy;
         w.start(node);
         let sent = w.sent;
-        w.until(10 * SECOND, |w| w.level(node)).expect("level");
+        w.run_until(10 * SECOND, |w| w.is_caught_up(node)).expect("caught up");
         assert!(w.sent - sent < 400, "{} messages", w.sent - sent);
         assert_eq!(w.leader(), Some(leader));
     }
@@ -691,23 +736,23 @@
     for mbps in [4.0, 1000.0] {
         for (state, entry) in [(60_000, 300), (60_000, 60_000), (2_000_000, 300)] {
             for changes in [10, 100, 300, 1000, 3000] {
-                let terms = Terms { mbps, state, entry, delay: 10 * MS, ..TERMS };
-                let told = match returns(changes, terms) {
+                let conditions = Conditions { mbps, state, entry, delay: 10 * MS, ..DEFAULT_CONDITIONS };
+                let row = match restart_after_changes(changes, conditions) {
                     Ok((ms, bytes)) => format!("{ms},{}", bytes / 1000),
                     Err(e) => e,
                 };
-                println!("restarted,{mbps},{},{entry},{changes},{told}", state / 1000);
+                println!("restarted,{mbps},{},{entry},{changes},{row}", state / 1000);
             }
         }
     }
     for mbps in [1.0, 4.0, 1000.0] {
         for state in [60_000, 2_000_000, 8_000_000] {
-            let terms = Terms { mbps, state, entry: 300, delay: 10 * MS, ..TERMS };
-            let told = match joins(terms, None, 300 * SECOND) {
+            let conditions = Conditions { mbps, state, entry: 300, delay: 10 * MS, ..DEFAULT_CONDITIONS };
+            let row = match join_with_empty_disk(conditions, None, 300 * SECOND) {
                 Ok((ms, bytes, _)) => format!("{ms},{}", bytes / 1000),
                 Err(e) => e,
             };
-            println!("empty disk, a change every 50 ms,{mbps},{},300,600 and on,{told}", state / 1000);
+            println!("empty disk, a change every 50 ms,{mbps},{},300,600 and on,{row}", state / 1000);
         }
     }
 }
--- a/crates/consensus/tests/disk.rs
+++ b/crates/consensus/tests/disk.rs
@@ -203,8 +203,8 @@
     }
 }
 
-/// After a loss of power in the middle of any write, the write is there whole or not at all, and all writes before it are
-/// there.
+/// After a loss of power in the middle of any write, the write is there whole or not at all, and all writes before it
+/// are there.
 #[test]
 fn a_torn_write_is_whole_or_not_at_all() {
     let (mut present, mut absent) = (0, 0);
@@ -233,7 +233,7 @@
 
 /// [`Write::apply`] and the store agree on what a write does, also when power is lost after each write.
 #[test]
-fn power_lost_after_any_write_leaves_all_that_was_promised() {
+fn power_loss_after_any_write_keeps_all_acknowledged_writes() {
     let mut disk = LossyDisk::default();
     let (_, mut expected) = disk.open();
     for (n, step) in sample_writes().into_iter().enumerate() {
--- a/crates/consensus/tests/names.rs
+++ b/crates/consensus/tests/names.rs
@@ -1,4 +1,5 @@
-//! The names of a store's files: until the directory is synced, a loss of power may keep or lose each of them separately.
+//! The names of a store's files: until the directory is synced, a loss of power may keep or lose each of them
+//! separately.
 
 use consensus::disk::Store;
 use consensus::{Entry, HardState, Member, Payload, PersistentState, Write};
@@ -48,11 +49,11 @@
     }
 }
 
-/// A loss of power before the first sync of the directory can leave either name, both or none, and a temporary file that is
-/// complete, empty or torn. A store under its final name holds all acknowledged writes. A temporary file holds nothing
-/// acknowledged, and is used if it is complete, so that a founder stays a founder.
+/// A loss of power before the first sync of the directory can leave either name, both or none, and a temporary file
+/// that is complete, empty or torn. A store under its final name holds all acknowledged writes. A temporary file holds
+/// nothing acknowledged, and is used if it is complete, so that a founder stays a founder.
 #[test]
-fn whichever_names_a_loss_of_power_keeps_the_store_opens_and_has_what_it_promised() {
+fn after_a_power_loss_the_store_has_all_acknowledged_writes_whichever_file_names_survive() {
     let complete = {
         let dir = TempDir::new("whole");
         let (store, _) = dir.open(7).expect("made");
