--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -3,7 +3,7 @@
 use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
 use config_store::replica::{Input, Output, Peer, Replica, Status};
 use consensus::disk::Store;
-use consensus::{Saved, Write};
+use consensus::{PersistentState, Write};
 use miette::{Result, miette};
 use net::Micros;
 use runtime::event_loop::{Inbox, StateMachine};
@@ -60,8 +60,8 @@
     let (incarnation, founders) = (runtime.life, seeds.clone());
     // For a disk without a store: founders start with disk number 0, later members with a random one.
     let initial = move || match is_founder {
-        true => (0, Saved::founding(founders.clone())),
-        false => (incarnation, Saved::blank()),
+        true => (0, PersistentState::founding(founders.clone())),
+        false => (incarnation, PersistentState::empty()),
     };
     let (store, saved) = Store::open(&dir, me, initial).map_err(|e| miette!("{e}"))?;
     let now = event_loop.clock.now();
@@ -114,7 +114,7 @@
                     Some(open) => open.write(&write),
                     None => Err(consensus::disk::DiskError {
                         file: dir.clone(),
-                        what: "cannot be reopened after a failed write".into(),
+                        message: "cannot be reopened after a failed write".into(),
                         full: false,
                     }),
                 };
@@ -124,7 +124,7 @@
                 std::thread::sleep(WRITE_RETRY_DELAY);
                 drop(store.take());
                 // The store was created before, so it needs no initial content.
-                store = Store::open(&dir, me, || (0, Saved::blank())).ok().map(|(open, _)| open);
+                store = Store::open(&dir, me, || (0, PersistentState::empty())).ok().map(|(open, _)| open);
             }
             inbox.post(Message::Written(write.number));
         }
--- a/crates/config-store/src/replica.rs
+++ b/crates/config-store/src/replica.rs
@@ -5,7 +5,7 @@
 use cluster::state::{Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, StorePeer, ToStore, Unsure};
 use cluster::{Micros, Rev};
-use consensus::{Disk, Message, NotLeader, Payload, Ratchet, Role, Saved, Timing, Write};
+use consensus::{Disk, Message, NotLeader, Payload, PersistentState, Role, Timing, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -121,7 +121,7 @@
     me: Ipv4Addr,
     disk: Disk,
     now: Micros,
-    consensus: Ratchet,
+    consensus: consensus::Replica,
     out: consensus::Output,
     pub copy: Copy,
     seeds: Vec<Ipv4Addr>,
@@ -162,7 +162,7 @@
     pub fn new(
         me: Ipv4Addr,
         disk: Disk,
-        saved: Saved,
+        saved: PersistentState,
         seeds: Vec<Ipv4Addr>,
         incarnation: u64,
         now: Micros,
@@ -173,7 +173,7 @@
         }
         state.rev = state.rev.max(saved.snapshot.index);
         let (snapshot_at, snapshot_bytes) = (state.rev, saved.snapshot.data.len());
-        let consensus = Ratchet::new(me, disk, saved, incarnation, Timing::default(), now);
+        let consensus = consensus::Replica::new(me, disk, saved, incarnation, Timing::default(), now);
         let mut replica = Replica {
             me,
             disk,
@@ -210,7 +210,7 @@
 
     /// The other stores to connect to: the members of the core and the seeds.
     pub fn peers(&self) -> BTreeSet<Ipv4Addr> {
-        let members = self.consensus.roster().members.keys().copied();
+        let members = self.consensus.membership().members.keys().copied();
         members.chain(self.seeds.iter().copied()).filter(|ip| *ip != self.me).collect()
     }
 
@@ -238,11 +238,11 @@
             Input::WriteFailed => self.step_consensus(consensus::Input::WriteFailed, out),
             Input::Stop => {
                 self.stopping.get_or_insert((self.now, self.now + HANDOVER_TIMEOUT_US));
-                self.step_consensus(consensus::Input::Yield, out);
+                self.step_consensus(consensus::Input::PrepareToStop, out);
             }
             Input::Settings { size, seeds } => {
                 if let Some(size) = size {
-                    self.step_consensus(consensus::Input::Size(size), out);
+                    self.step_consensus(consensus::Input::TargetSize(size), out);
                 }
                 self.seeds = seeds.clone();
                 self.step_consensus(consensus::Input::Seeds(seeds), out);
@@ -278,7 +278,7 @@
         if self.now >= self.next_freshness_read_at {
             self.next_freshness_read_at = self.now + FRESHNESS_READ_PERIOD_US;
             // Non-voting replicas read as well: a copy that holds all committed entries is fresh whether or not it votes.
-            if self.consensus.standing() || self.consensus.leader().is_some() {
+            if self.consensus.is_voter() || self.consensus.leader().is_some() {
                 self.read(Caller::Freshness { asked_at: self.now }, true, out);
             }
         }
@@ -443,8 +443,8 @@
             let links: Vec<u64> = self.followers.keys().copied().collect();
             links.into_iter().for_each(|link| self.send_news(link, out));
         }
-        let large =
-            self.bytes_since_snapshot >= SNAPSHOT_SIZE_FACTOR * consensus::enough(self.snapshot_bytes);
+        let large = self.bytes_since_snapshot
+            >= SNAPSHOT_SIZE_FACTOR * consensus::snapshot_threshold(self.snapshot_bytes);
         if rev_now >= self.snapshot_at + SNAPSHOT_ENTRIES || rev_now > self.snapshot_at && large {
             let data = self.copy.state.write(self.now);
             (self.snapshot_at, self.snapshot_bytes, self.bytes_since_snapshot) = (rev_now, data.len(), 0);
@@ -469,7 +469,7 @@
                 Payload::Data(data) => Some(postcard::from_bytes::<Command>(&data).map_err(|e| {
                     format!("entry {} is not a command that this version can decode: {e}", entry.index)
                 })?),
-                Payload::Nothing | Payload::Roster(_) | Payload::Joint { .. } => None,
+                Payload::Noop | Payload::Membership(_) | Payload::Joint { .. } => None,
             };
             let result = self.copy.apply(self.now, entry.index, command);
             self.results.push_back((entry.index, result));
@@ -526,7 +526,7 @@
     /// Sends followers the status if it has changed, a follower has asked for it or the period has passed.
     fn report_status(&mut self, out: &mut Vec<Output>) {
         self.update_fresh_at();
-        let core: Vec<Ipv4Addr> = self.consensus.roster().members.keys().copied().collect();
+        let core: Vec<Ipv4Addr> = self.consensus.membership().members.keys().copied().collect();
         let status = (core, self.fresh(), self.leads(), self.consensus.term());
         if self.now < self.next_status_at && self.reported.as_ref() == Some(&status) {
             return;
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -5,8 +5,8 @@
 use cluster::drill::DrillChange;
 use cluster::rollout::RolloutChange;
 use cluster::state::{Command, NodeChange, ServerChange, State};
-use consensus::disk::{self, DiskError, Look, Store};
-use consensus::{Disk, Entry, Member, Payload, Roster, Saved};
+use consensus::disk::{self, DiskError, Store, StoreContents};
+use consensus::{Disk, Entry, Member, Membership, Payload, PersistentState};
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 use std::fs::File;
@@ -23,7 +23,7 @@
 struct Backup {
     member: Member,
     disk: Disk,
-    saved: Saved,
+    saved: PersistentState,
 }
 
 /// Why an operation failed, as text for the operator.
@@ -37,9 +37,9 @@
 
 /// Verifies the store in `dir` and summarizes it. The error lists what is wrong with it.
 pub fn check(dir: &Path) -> Result<String, ErrorText> {
-    let look = disk::look(dir).map_err(error_text)?;
+    let look = disk::inspect(dir).map_err(error_text)?;
     let mut problems = Vec::new();
-    if !look.whole {
+    if !look.checksums_valid {
         problems.push("pages of the file do not match their checksums".to_string());
     }
     problems.extend(inconsistencies(&look.saved));
@@ -57,7 +57,7 @@
 }
 
 /// Contradictions between the log, the stored term and commit index, and the membership.
-fn inconsistencies(saved: &Saved) -> Vec<String> {
+fn inconsistencies(saved: &PersistentState) -> Vec<String> {
     let mut problems = Vec::new();
     let (hard, snapshot) = (&saved.hard, &saved.snapshot);
     let mut last_term = saved.base.1;
@@ -76,21 +76,21 @@
             hard.term
         ));
     }
-    if hard.commit > saved.last() {
+    if hard.commit > saved.last_index() {
         problems.push(format!(
             "entry {} is marked as committed, but the log ends at {}",
             hard.commit,
-            saved.last()
+            saved.last_index()
         ));
     }
-    if hard.standing && snapshot.roster.members.is_empty() && saved.roster().members.is_empty() {
+    if hard.voter && snapshot.membership.members.is_empty() && saved.membership().members.is_empty() {
         problems.push("the disk has a vote, but its membership is empty".into());
     }
     problems
 }
 
 /// The state after the last entry, committed or not.
-fn state_of(saved: &Saved) -> Result<State, ErrorText> {
+fn state_of(saved: &PersistentState) -> Result<State, ErrorText> {
     let mut state = match saved.snapshot.data.is_empty() {
         true => State::default(),
         false => State::read(0, &saved.snapshot.data)?,
@@ -109,11 +109,11 @@
 }
 
 /// The properties of a store, one per line.
-fn summary(look: &Look, state: Option<&State>) -> String {
-    let Look { file, bytes, member, disk, saved, .. } = look;
+fn summary(look: &StoreContents, state: Option<&State>) -> String {
+    let StoreContents { file, bytes, member, disk, saved, .. } = look;
     let (hard, snapshot) = (&saved.hard, &saved.snapshot);
     let vote = hard.vote.map_or("nobody".into(), |v| v.to_string());
-    let voting = if hard.standing { "voting member" } else { "does not vote until the core admits it" };
+    let voting = if hard.voter { "voting member" } else { "does not vote until the core admits it" };
     let first = saved.base.0 + 1;
     // The format number is the first field of every encoded state.
     let format = postcard::from_bytes::<u32>(&snapshot.data).map_or("-".into(), |f| f.to_string());
@@ -121,7 +121,7 @@
         true => format!("empty after {}", saved.base.0),
         false => {
             let term = saved.entries.last().map_or(saved.base.1, |e| e.term);
-            format!("entries {first} to {}, the last of term {term}", saved.last())
+            format!("entries {first} to {}, the last of term {term}", saved.last_index())
         }
     };
     let mut out = String::new();
@@ -132,7 +132,7 @@
         ("term", format!("{}, vote for {vote}", hard.term)),
         ("log", format!("{log}; known to be committed up to {}", hard.commit)),
         ("snapshot", format!("at {}, {} bytes", snapshot.index, snapshot.data.len())),
-        ("core", core_members(saved.roster())),
+        ("core", core_members(saved.membership())),
     ] {
         let _ = writeln!(out, "{name:<14} {text}");
     }
@@ -150,14 +150,14 @@
     out
 }
 
-fn core_members(roster: &Roster) -> String {
-    let members: Vec<String> = roster.members.iter().map(|(m, d)| format!("{m} (disk {d})")).collect();
+fn core_members(membership: &Membership) -> String {
+    let members: Vec<String> = membership.members.iter().map(|(m, d)| format!("{m} (disk {d})")).collect();
     if members.is_empty() { "unknown".into() } else { members.join(", ") }
 }
 
 /// The whole store as text, without the bodies of configurations, as they hold the keys of tenants.
 pub fn dump(dir: &Path) -> Result<String, ErrorText> {
-    let look = disk::look(dir).map_err(error_text)?;
+    let look = disk::inspect(dir).map_err(error_text)?;
     let state = state_of(&look.saved);
     let mut out = summary(&look, state.as_ref().ok());
     if let Err(why) = &state {
@@ -186,8 +186,8 @@
 
 fn describe_entry(entry: &Entry) -> String {
     let command = match &entry.payload {
-        Payload::Nothing => return "first entry of a leader".into(),
-        Payload::Roster(new) => return format!("core: {}", core_members(new)),
+        Payload::Noop => return "first entry of a leader".into(),
+        Payload::Membership(new) => return format!("core: {}", core_members(new)),
         Payload::Joint { old, new } => {
             return format!("core: {}; before: {}", core_members(new), core_members(old));
         }
@@ -256,11 +256,11 @@
 /// Writes the whole store to the file `to`, which must not exist yet.
 pub fn backup(dir: &Path, to: &Path) -> Result<String, ErrorText> {
     check(dir)?;
-    let Look { member, disk, saved, .. } = disk::look(dir).map_err(error_text)?;
-    let (last, commit) = (saved.last(), saved.hard.commit);
+    let StoreContents { member, disk, saved, .. } = disk::inspect(dir).map_err(error_text)?;
+    let (last, commit) = (saved.last_index(), saved.hard.commit);
     let mut bytes = MAGIC.to_vec();
     bytes.extend(FORMAT.to_le_bytes());
-    bytes.extend(disk::sealed(&Backup { member, disk, saved }));
+    bytes.extend(disk::encode_checksummed(&Backup { member, disk, saved }));
     let failed = |e: std::io::Error| format!("{}: {e}", to.display());
     // Written under a temporary name until it is complete and synced.
     let mut part = to.as_os_str().to_owned();
@@ -287,7 +287,7 @@
     let rest = bytes.strip_prefix(MAGIC).ok_or_else(|| error("is not a backup of a store".into()))?;
     let (format, rest) = rest.split_first_chunk::<4>().ok_or_else(|| error("is truncated".into()))?;
     match u32::from_le_bytes(*format) {
-        FORMAT => disk::unsealed(rest).map_err(error),
+        FORMAT => disk::decode_checksummed(rest).map_err(error),
         format => Err(error(format!("has form {format}, this program reads form {FORMAT}"))),
     }
 }
@@ -304,7 +304,7 @@
     let backup = read_backup(from)?;
     state_of(&backup.saved)?;
     let member = member.unwrap_or(backup.member);
-    let (last, commit) = (backup.saved.last(), backup.saved.hard.commit);
+    let (last, commit) = (backup.saved.last_index(), backup.saved.hard.commit);
     let mut out = String::new();
     if dir.read_dir().is_ok_and(|mut d| d.next().is_some()) {
         if !over {
@@ -312,26 +312,26 @@
             return Err(format!("{}: is not empty; {hint}", dir.display()));
         }
         if disk::exists(dir) {
-            let existing = disk::look(dir);
+            let existing = disk::inspect(dir);
             let _ = match &existing {
                 Ok(l) => writeln!(
                     out,
                     "set aside: disk {} of {}, entries up to {}, known to be committed up to {}; the backup has {last}",
                     l.disk,
                     l.member,
-                    l.saved.last(),
+                    l.saved.last_index(),
                     l.saved.hard.commit
                 ),
                 Err(e) => writeln!(out, "set aside, though it cannot be read: {e}"),
             };
-            if existing.is_err_and(|e| e.what.contains("in use")) {
+            if existing.is_err_and(|e| e.message.contains("in use")) {
                 return Err(format!("{}: is in use by another process", dir.display()));
             }
             let aside = disk::set_aside(dir).map_err(error_text)?;
             let _ = writeln!(out, "it is kept as {}", aside.display());
         }
     }
-    let saved = backup.saved.stranger();
+    let saved = backup.saved.into_non_voter();
     Store::open(dir, member, || (number, saved)).map_err(error_text)?;
     let _ = writeln!(
         out,
@@ -349,11 +349,11 @@
 /// Without `yes` nothing is changed, and the text describes the consequences.
 pub fn refound(dir: &Path, number: Disk, yes: bool) -> Result<String, ErrorText> {
     check(dir)?;
-    let look = disk::look(dir).map_err(error_text)?;
+    let look = disk::inspect(dir).map_err(error_text)?;
     let state = state_of(&look.saved)?;
-    let (last, commit, me) = (look.saved.last(), look.saved.hard.commit, look.member);
+    let (last, commit, me) = (look.saved.last_index(), look.saved.hard.commit, look.member);
     let other_members: Vec<String> =
-        look.saved.roster().members.keys().filter(|m| **m != me).map(Member::to_string).collect();
+        look.saved.membership().members.keys().filter(|m| **m != me).map(Member::to_string).collect();
     let mut out = summary(&look, Some(&state));
     let _ = write!(
         out,
@@ -376,11 +376,11 @@
     let mut new_state = state;
     let data = {
         // A first call, for the index that the new snapshot gets.
-        let probe = look.saved.refounded(me, number, Vec::new());
+        let probe = look.saved.recovered(me, number, Vec::new());
         new_state.rev = probe.snapshot.index;
         new_state.write(0)
     };
-    let saved = look.saved.refounded(me, number, data);
+    let saved = look.saved.recovered(me, number, data);
     let aside = disk::set_aside(dir).map_err(error_text)?;
     let at = saved.snapshot.index;
     Store::open(dir, me, || (number, saved)).map_err(error_text)?;
--- a/crates/config-store/tests/catching_up.rs
+++ b/crates/config-store/tests/catching_up.rs
@@ -3,7 +3,7 @@
 
 use cluster::state::{Command, State};
 use config_store::replica::{Input, Output, Peer, Replica};
-use consensus::{Entry, Message, Payload, Roster, Saved};
+use consensus::{Entry, Membership, Message, Payload, PersistentState};
 use std::net::Ipv4Addr;
 
 const LEADER: Ipv4Addr = ip(1);
@@ -15,7 +15,7 @@
 
 struct Follower {
     replica: Replica,
-    saved: Saved,
+    saved: PersistentState,
     now: u64,
     sent: Vec<Message>,
     /// Tickets of the reads that it sent to the leader.
@@ -24,7 +24,7 @@
 
 impl Follower {
     fn new() -> Follower {
-        let saved = Saved::founding([ip(1), ip(2), ip(3)]);
+        let saved = PersistentState::founding([ip(1), ip(2), ip(3)]);
         let replica = Replica::new(ME, 0, saved.clone(), vec![LEADER], 1, 0).expect("readable");
         Follower { replica, saved, now: 0, sent: Vec::new(), reads: Vec::new() }
     }
@@ -53,15 +53,22 @@
         }
     }
 
-    fn receive_append(&mut self, prev: u64, commit: u64, payloads: Vec<Payload>) {
-        let index = |n: usize| prev + 1 + n as u64;
+    fn receive_append(&mut self, prev_index: u64, commit: u64, payloads: Vec<Payload>) {
+        let index = |n: usize| prev_index + 1 + n as u64;
         let entries: Vec<Entry> = payloads
             .into_iter()
             .enumerate()
             .map(|(n, payload)| Entry { term: 5, index: index(n), payload })
             .collect();
-        let prev_term = if prev == 0 { 0 } else { 5 };
-        self.receive_message(Message::Append { term: 5, round: 1, prev, prev_term, commit, entries });
+        let prev_term = if prev_index == 0 { 0 } else { 5 };
+        self.receive_message(Message::AppendEntries {
+            term: 5,
+            round: 1,
+            prev_index,
+            prev_term,
+            commit,
+            entries,
+        });
         // A leader answers reads once an entry of its own term is committed.
         if commit > 0 {
             for ticket in std::mem::take(&mut self.reads) {
@@ -71,14 +78,14 @@
     }
 
     fn receive_part(&mut self, index: u64, data: &[u8], offset: usize, end: usize) {
-        let roster = Roster { members: (1..4).map(|n| (ip(n), 0)).collect() };
-        self.receive_message(Message::Part {
+        let membership = Membership { members: (1..4).map(|n| (ip(n), 0)).collect() };
+        self.receive_message(Message::SnapshotChunk {
             term: 5,
             round: 1,
             index,
             index_term: 5,
-            roster,
-            roster_index: 0,
+            membership,
+            membership_index: 0,
             total: data.len() as u64,
             offset: offset as u64,
             bytes: data[offset..end].to_vec(),
@@ -130,7 +137,7 @@
     follower.receive_part(300, &new, 200, new.len());
     assert_eq!((follower.replica.copy.rev(), follower.replica.copy.state.evacuated.len()), (300, 90));
     let received = |m: &Message| match m {
-        Message::Got { index, offset, .. } => Some((*index, *offset)),
+        Message::SnapshotChunkResponse { index, offset, .. } => Some((*index, *offset)),
         _ => None,
     };
     let acknowledged: Vec<(u64, u64)> = follower.sent.iter().filter_map(received).collect();
@@ -141,7 +148,7 @@
 #[test]
 fn a_leader_without_a_committed_entry_of_its_term_makes_nobody_fresh() {
     let mut follower = Follower::new();
-    follower.receive_append(0, 0, vec![Payload::Nothing]);
+    follower.receive_append(0, 0, vec![Payload::Noop]);
     assert!(!follower.replica.fresh(), "no entry of its own term is committed yet");
     follower.receive_append(1, 1, vec![evacuate("a")]);
     assert!(follower.replica.fresh());
@@ -150,7 +157,7 @@
 #[test]
 fn a_state_of_a_later_program_is_refused_and_the_disk_stays_as_it_was() {
     let mut follower = Follower::new();
-    follower.receive_append(0, 2, vec![Payload::Nothing, evacuate("a")]);
+    follower.receive_append(0, 2, vec![Payload::Noop, evacuate("a")]);
     assert!(follower.replica.fresh());
     let mut data = evacuated(300, 9);
     data[0] = 77;
@@ -170,7 +177,7 @@
 #[test]
 fn a_command_of_a_later_program_is_refused_and_nothing_after_it_is_applied() {
     let mut follower = Follower::new();
-    follower.receive_append(0, 2, vec![Payload::Nothing, evacuate("a")]);
+    follower.receive_append(0, 2, vec![Payload::Noop, evacuate("a")]);
     let unknown = Payload::Data(vec![200, 1, 2, 3]);
     follower.receive_append(2, 5, vec![evacuate("b"), unknown, evacuate("c")]);
     let why = follower.replica.unreadable().expect("refused");
@@ -184,7 +191,7 @@
 #[test]
 fn a_log_of_large_entries_is_compacted_by_size() {
     let mut follower = Follower::new();
-    follower.receive_append(0, 1, vec![Payload::Nothing]);
+    follower.receive_append(0, 1, vec![Payload::Noop]);
     for n in 1..120 {
         // Every replica rejects it, as its base version does not exist; the log holds it all the same.
         let change = cluster::state::Change { base: 9, patch: false, body: vec![b' '; 60_000] };
--- a/crates/config-store/tests/replica.rs
+++ b/crates/config-store/tests/replica.rs
@@ -4,7 +4,7 @@
 use cluster::state::{Change, Command, Done, State};
 use cluster::talk::{FRESH_US, FromStore, ToStore, Unsure};
 use config_store::replica::{Input, Output, Peer, Replica};
-use consensus::Saved;
+use consensus::PersistentState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -18,7 +18,7 @@
 
 struct Machine {
     replica: Replica,
-    saved: Saved,
+    saved: PersistentState,
     /// The copy that the registry on this machine builds from the news.
     copy: Copy,
     /// From the last status message: whether fresh, whether leader.
@@ -40,7 +40,7 @@
 }
 
 /// `restarts`: how often it was started before.
-fn new_replica(me: Ipv4Addr, saved: Saved, restarts: u64, now: u64) -> Replica {
+fn new_replica(me: Ipv4Addr, saved: PersistentState, restarts: u64, now: u64) -> Replica {
     let seed = u64::from(me.octets()[3]) + (restarts << 8);
     Replica::new(me, 0, saved, vec![ip(1), ip(2), ip(3)], seed, now).expect("readable")
 }
@@ -64,14 +64,14 @@
         let (machines, in_flight, blocked) = (BTreeMap::new(), VecDeque::new(), BTreeSet::new());
         let mut cluster = Cluster { now, machines, in_flight, blocked, tickets, restarts: BTreeMap::new() };
         for me in [ip(1), ip(2), ip(3)] {
-            cluster.start(me, Saved::founding([ip(1), ip(2), ip(3)]));
+            cluster.start(me, PersistentState::founding([ip(1), ip(2), ip(3)]));
         }
         cluster.advance(3 * SECOND);
         assert!(cluster.machines.values().all(|m| m.status.is_some_and(|s| s.0)), "all are fresh");
         cluster
     }
 
-    fn start(&mut self, me: Ipv4Addr, saved: Saved) {
+    fn start(&mut self, me: Ipv4Addr, saved: PersistentState) {
         let restarts = self.restarts.entry(me).and_modify(|n| *n += 1).or_insert(0);
         let replica = new_replica(me, saved.clone(), *restarts, self.now);
         let (results, reads) = (BTreeMap::new(), BTreeMap::new());
@@ -275,7 +275,8 @@
         assert_eq!(State::read(cluster.now, &written).expect("readable").write(cluster.now), written);
     }
     let before: Vec<u8> = cluster.machines[&at].replica.copy.state.write(cluster.now);
-    let all: Vec<(Ipv4Addr, Saved)> = cluster.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
+    let all: Vec<(Ipv4Addr, PersistentState)> =
+        cluster.machines.iter().map(|(ip, m)| (*ip, m.saved.clone())).collect();
     cluster.in_flight.clear();
     all.into_iter().for_each(|(ip, saved)| cluster.start(ip, saved));
     cluster.advance(3 * SECOND);
@@ -376,7 +377,7 @@
     for leads in [false, true] {
         let mut cluster = Cluster::new();
         let spare = ip(4);
-        cluster.start(spare, Saved::blank());
+        cluster.start(spare, PersistentState::empty());
         let seeds = vec![ip(1), ip(2), ip(3)];
         for me in [ip(1), ip(2), ip(3), spare] {
             cluster.handle(me, Input::Settings { size: Some(3), seeds: seeds.clone() });
--- a/crates/config-store/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -5,7 +5,7 @@
 use config_store::replica::{Input, Output, Replica};
 use config_store::store;
 use consensus::disk::{self, Store};
-use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
+use consensus::{Disk, Entry, HardState, Payload, PersistentState, Write};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -42,15 +42,16 @@
 }
 
 /// Writes a store of `who` with one entry of term 1 for each evacuated zone, the first `commit` of them committed.
-fn write_store(dir: &Path, who: u8, zones: &[&str], commit: u64) -> Saved {
+fn write_store(dir: &Path, who: u8, zones: &[&str], commit: u64) -> PersistentState {
     let founders = [ip(1), ip(2), ip(3)];
-    let (store, mut saved) = Store::open(dir, ip(who), || (0, Saved::founding(founders))).expect("created");
+    let (store, mut saved) =
+        Store::open(dir, ip(who), || (0, PersistentState::founding(founders))).expect("created");
     let data = |zone: &str| Payload::Data(postcard::to_stdvec(&evacuate(zone)).expect("serializable"));
     let entries = zones.iter().enumerate();
     let write = Write {
         number: 1,
-        hard: Hard { term: 1, vote: Some(ip(1)), commit, standing: true },
-        from: Some(1),
+        hard: HardState { term: 1, vote: Some(ip(1)), commit, voter: true },
+        truncate_from: Some(1),
         entries: entries.map(|(n, z)| Entry { term: 1, index: n as u64 + 1, payload: data(z) }).collect(),
         ..Write::default()
     };
@@ -114,16 +115,16 @@
     let to = temp.at("b");
     let text = store::restore(&file, &to, None, 77, false).expect("restored");
     assert!(text.contains("disk 77 of 10.8.0.1") && text.contains("starts without a vote"), "{text}");
-    let look = disk::look(&to).expect("exists");
+    let look = disk::inspect(&to).expect("exists");
     assert_eq!((look.disk, look.member), (77, ip(1)));
-    assert_eq!(look.saved, saved.stranger());
-    assert!(!look.saved.hard.standing && look.saved.hard.vote.is_none());
+    assert_eq!(look.saved, saved.into_non_voter());
+    assert!(!look.saved.hard.voter && look.saved.hard.vote.is_none());
     let before = store_bytes(&to);
     let error = store::restore(&file, &to, None, 78, false).expect_err("not empty");
     assert!(error.contains("is not empty") && store_bytes(&to) == before, "{error}");
     let text = store::restore(&file, &to, Some(ip(2)), 78, true).expect("--over was given");
     assert!(text.contains("set aside: disk 77"), "{text}");
-    assert_eq!(disk::look(&to).expect("exists").member, ip(2));
+    assert_eq!(disk::inspect(&to).expect("exists").member, ip(2));
     assert_eq!(std::fs::read(to.join("ratchet.redb.aside-1")).expect("kept"), before);
 
     // A backup of a later version, one with a changed byte, a truncated one, and a file that is none.
@@ -147,13 +148,13 @@
 /// Replicas in a simulated cluster that keeps their disks and delivers all messages.
 struct Cluster {
     now: u64,
-    machines: BTreeMap<Ipv4Addr, (Replica, Saved)>,
+    machines: BTreeMap<Ipv4Addr, (Replica, PersistentState)>,
     in_flight: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::replica::Peer)>,
     acknowledged: usize,
 }
 
 impl Cluster {
-    fn start(&mut self, who: Ipv4Addr, disk: Disk, saved: Saved) {
+    fn start(&mut self, who: Ipv4Addr, disk: Disk, saved: PersistentState) {
         let seeds = vec![ip(1), ip(2), ip(3)];
         let replica =
             Replica::new(who, disk, saved.clone(), seeds, disk + u64::from(who.octets()[3]), self.now)
@@ -215,8 +216,8 @@
     assert_eq!(store_bytes(&dir), before, "without --yes nothing is changed");
     store::refound(&dir, 500, true).expect("done");
     assert_eq!(file_bytes(&dir, "ratchet.redb.aside-1"), before, "the old store is kept");
-    let look = disk::look(&dir).expect("exists");
-    assert_eq!((look.disk, look.saved.roster().members.len()), (500, 1));
+    let look = disk::inspect(&dir).expect("exists");
+    assert_eq!((look.disk, look.saved.membership().members.len()), (500, 1));
 
     let mut cluster =
         Cluster { now: SECOND, machines: BTreeMap::new(), in_flight: VecDeque::new(), acknowledged: 0 };
@@ -224,7 +225,7 @@
     cluster.advance(3 * SECOND);
     assert!(cluster.machines[&ip(1)].0.leads(), "alone it is the majority");
     for (who, disk) in [(2, 600), (3, 700)] {
-        cluster.start(ip(who), disk, Saved::blank());
+        cluster.start(ip(who), disk, PersistentState::empty());
         cluster.advance(5 * SECOND);
         assert!(cluster.machines[&ip(who)].0.fresh(), "{who} is admitted");
     }
@@ -259,7 +260,7 @@
     let mut cluster =
         Cluster { now: SECOND, machines: BTreeMap::new(), in_flight: VecDeque::new(), acknowledged: 0 };
     for who in [1, 2, 3] {
-        cluster.start(ip(who), 0, Saved::founding([ip(1), ip(2), ip(3)]));
+        cluster.start(ip(who), 0, PersistentState::founding([ip(1), ip(2), ip(3)]));
     }
     cluster.advance(3 * SECOND);
     let dir = temp.at("a");
@@ -273,7 +274,7 @@
     }
     assert_eq!(cluster.acknowledged, 3);
     store::restore(&temp.at("backup"), &temp.at("b"), None, 900, false).expect("restored");
-    let look = disk::look(&temp.at("b")).expect("exists");
+    let look = disk::inspect(&temp.at("b")).expect("exists");
     cluster.start(ip(3), look.disk, look.saved);
     assert!(!cluster.machines[&ip(3)].0.fresh());
     cluster.advance(5 * SECOND);
--- a/crates/consensus/tests/wire_samples.rs
+++ b/crates/consensus/tests/wire_samples.rs
@@ -6,8 +6,10 @@
 //! form, `cargo test -p curlewfront-consensus --test wire_samples -- --ignored` writes the file anew; a change that old
 //! programs must bear adds samples and leaves the old rows as they are.
 
-use consensus::disk::{FORMAT, Store, sealed, unsealed};
-use consensus::{Entry, Hard, Member, Message, Payload, Roster, Saved, Snapshot, decode, encode};
+use consensus::disk::{FORMAT, Store, decode_checksummed, encode_checksummed};
+use consensus::{
+    Entry, HardState, Member, Membership, Message, Payload, PersistentState, Snapshot, decode, encode,
+};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -38,7 +40,7 @@
 }
 
 fn sealed_again(bytes: &[u8]) -> Result<Vec<u8>, String> {
-    Ok(sealed(&unsealed::<Hard>(bytes)?))
+    Ok(encode_checksummed(&decode_checksummed::<HardState>(bytes)?))
 }
 
 fn of<T: Serialize + DeserializeOwned>(kind: &str, all: Vec<(&str, T)>) -> Vec<Sample> {
@@ -56,20 +58,20 @@
     Member::new(10, 9, 8, last)
 }
 
-fn roster() -> Roster {
-    Roster { members: [(ip(1), DISK), (ip(2), 0), (ip(3), 301)].into() }
+fn membership() -> Membership {
+    Membership { members: [(ip(1), DISK), (ip(2), 0), (ip(3), 301)].into() }
 }
 
-fn later_roster() -> Roster {
-    Roster { members: [(ip(1), DISK), (ip(4), 302)].into() }
+fn later_roster() -> Membership {
+    Membership { members: [(ip(1), DISK), (ip(4), 302)].into() }
 }
 
 fn payloads() -> Vec<(&'static str, Payload)> {
     vec![
-        ("nothing", Payload::Nothing),
-        ("roster", Payload::Roster(roster())),
+        ("nothing", Payload::Noop),
+        ("roster", Payload::Membership(membership())),
         ("data", Payload::Data(vec![1, 2, 3, 250])),
-        ("joint", Payload::Joint { old: roster(), new: later_roster() }),
+        ("joint", Payload::Joint { old: membership(), new: later_roster() }),
     ]
 }
 
@@ -80,45 +82,63 @@
 }
 
 fn snapshot() -> Snapshot {
-    Snapshot { index: 320, term: 321, roster: roster(), roster_index: 322, data: vec![4, 5, 251] }
+    Snapshot { index: 320, term: 321, membership: membership(), membership_index: 322, data: vec![4, 5, 251] }
 }
 
-fn hard() -> Hard {
-    Hard { term: 330, vote: Some(ip(2)), commit: 331, standing: true }
+fn hard() -> HardState {
+    HardState { term: 330, vote: Some(ip(2)), commit: 331, voter: true }
 }
 
 /// What a disk can hold: the entries follow on the base.
-fn saved() -> Saved {
+fn saved() -> PersistentState {
     let snapshot = Snapshot { index: 312, term: 309, ..snapshot() };
-    Saved { hard: hard(), snapshot: Arc::new(snapshot), base: (310, 308), entries: entries() }
+    PersistentState { hard: hard(), snapshot: Arc::new(snapshot), base: (310, 308), entries: entries() }
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let part = Message::Part {
+    let part = Message::SnapshotChunk {
         term: 360,
         round: 361,
         index: 362,
         index_term: 363,
-        roster: roster(),
-        roster_index: 364,
+        membership: membership(),
+        membership_index: 364,
         total: 70_000,
         offset: 65_536,
         bytes: vec![6, 7, 252],
     };
     vec![
-        ("hello", Message::Hello),
-        ("leads", Message::Leads(Some(ip(2)))),
-        ("leads_unknown", Message::Leads(None)),
-        ("ask", Message::Ask { pre: true, urged: false, term: 340, last: 341, last_term: 342 }),
-        ("ask_urged", Message::Ask { pre: false, urged: true, term: 340, last: 341, last_term: 342 }),
-        ("vote", Message::Vote { pre: true, term: 343, granted: false, commit: 344 }),
-        ("vote_granted", Message::Vote { pre: false, term: 343, granted: true, commit: 344 }),
+        ("hello", Message::JoinRequest),
+        ("leads", Message::LeaderHint(Some(ip(2)))),
+        ("leads_unknown", Message::LeaderHint(None)),
+        (
+            "ask",
+            Message::RequestVote {
+                pre_vote: true,
+                leadership_transfer: false,
+                term: 340,
+                last_index: 341,
+                last_term: 342,
+            },
+        ),
+        (
+            "ask_urged",
+            Message::RequestVote {
+                pre_vote: false,
+                leadership_transfer: true,
+                term: 340,
+                last_index: 341,
+                last_term: 342,
+            },
+        ),
+        ("vote", Message::VoteResponse { pre_vote: true, term: 343, granted: false, commit: 344 }),
+        ("vote_granted", Message::VoteResponse { pre_vote: false, term: 343, granted: true, commit: 344 }),
         (
             "append",
-            Message::Append {
+            Message::AppendEntries {
                 term: 345,
                 round: 346,
-                prev: 347,
+                prev_index: 347,
                 prev_term: 348,
                 commit: 349,
                 entries: entries(),
@@ -126,33 +146,47 @@
         ),
         (
             "ack",
-            Message::Ack { term: 350, round: 351, fits: true, matched: 352, commit: 353, standing: false },
+            Message::AppendResponse {
+                term: 350,
+                round: 351,
+                success: true,
+                match_index: 352,
+                commit: 353,
+                voter: false,
+            },
         ),
         (
             "ack_standing",
-            Message::Ack { term: 350, round: 351, fits: false, matched: 352, commit: 353, standing: true },
+            Message::AppendResponse {
+                term: 350,
+                round: 351,
+                success: false,
+                match_index: 352,
+                commit: 353,
+                voter: true,
+            },
         ),
         ("part", part),
-        ("got", Message::Got { term: 370, round: 371, index: 372, offset: 373 }),
-        ("take", Message::Take { term: 374 }),
-        ("leave", Message::Leave { term: 375 }),
+        ("got", Message::SnapshotChunkResponse { term: 370, round: 371, index: 372, offset: 373 }),
+        ("take", Message::TimeoutNow { term: 374 }),
+        ("leave", Message::Leaving { term: 375 }),
     ]
 }
 
 fn samples() -> Vec<Sample> {
-    let mut all = of("Roster", vec![("", roster())]);
+    let mut all = of("Membership", vec![("", membership())]);
     all.extend(of("Payload", payloads()));
     all.extend(of("Entry", vec![("", Entry { term: 303, index: 304, payload: Payload::Data(vec![8]) })]));
     all.extend(of("Snapshot", vec![("", snapshot())]));
-    all.extend(of("Hard", vec![("", hard()), ("of_no_vote", Hard { vote: None, ..hard() })]));
-    all.extend(of("Saved", vec![("", saved())]));
+    all.extend(of("HardState", vec![("", hard()), ("of_no_vote", HardState { vote: None, ..hard() })]));
+    all.extend(of("PersistentState", vec![("", saved())]));
     let sent = messages().into_iter().map(|(name, message)| Sample {
         name: format!("Message.{name}"),
         bytes: encode(DISK, &message),
         again: message_again,
     });
     all.extend(sent);
-    all.push(Sample { name: "sealed".into(), bytes: sealed(&hard()), again: sealed_again });
+    all.push(Sample { name: "sealed".into(), bytes: encode_checksummed(&hard()), again: sealed_again });
     all
 }
 
@@ -199,7 +233,7 @@
 }
 
 /// The store that has these rows, as a member reads it.
-fn read_of_a_store(rows: &Rows) -> (u64, Saved) {
+fn read_of_a_store(rows: &Rows) -> (u64, PersistentState) {
     let folder = Folder::new("read");
     let db = Database::create(folder.0.join("ratchet.redb")).expect("a store");
     let t = db.begin_write().expect("a write");
