--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -106,7 +106,7 @@
     DrillFault {
         id: u64,
         attempt_id: Arc<[u8]>,
-        met: InjectedFault,
+        injected: InjectedFault,
     },
     /// A server is new, or has changed. `up`: it may get new requests.
     Server {
@@ -363,7 +363,7 @@
             DrillDecision::Hold(until) => {
                 _ = self.awaiting_grant.insert(request.id, (request, self.now, until))
             }
-            DrillDecision::Inject(met) => self.apply_drill_fault(request, met, out),
+            DrillDecision::Inject(injected) => self.apply_drill_fault(request, injected, out),
         }
     }
 
@@ -701,19 +701,19 @@
         self.drills.decide(self.now, &meeting)
     }
 
-    /// Continues a request that waited for a drill's grant; `met`: the granted fault.
-    fn resume(&mut self, id: u64, met: Option<InjectedFault>, out: &mut Vec<Output>) {
+    /// Continues a request that waited for a drill's grant; `injected`: the granted fault.
+    fn resume(&mut self, id: u64, injected: Option<InjectedFault>, out: &mut Vec<Output>) {
         let Some((mut request, since, _)) = self.awaiting_grant.remove(&id) else { return };
         request.left_us = request.left_us.map(|left| left.saturating_sub(self.now - since));
-        match met {
-            Some(met) => self.apply_drill_fault(request, met, out),
+        match injected {
+            Some(injected) => self.apply_drill_fault(request, injected, out),
             None => self.accept(request, None, out),
         }
     }
 
-    fn apply_drill_fault(&mut self, request: ClientRequest, met: InjectedFault, out: &mut Vec<Output>) {
-        let (id, fault) = (request.id, met.fault.clone());
-        out.push(Output::DrillFault { id, attempt_id: request.attempt_id.clone(), met });
+    fn apply_drill_fault(&mut self, request: ClientRequest, injected: InjectedFault, out: &mut Vec<Output>) {
+        let (id, fault) = (request.id, injected.fault.clone());
+        out.push(Output::DrillFault { id, attempt_id: request.attempt_id.clone(), injected });
         match fault {
             Fault::Refused => {
                 out.push(Output::Answer(id, Answer::retry_later(503, "not now", RETRY_AFTER_US)))
@@ -759,8 +759,8 @@
         }
         let c = &self.counts;
         let failed_permille = ((c.refused + c.failed) * 1000 / c.asked.max(1)) as u32;
-        for (id, met) in self.drills.apply_state(self.now, agreed, failed_permille) {
-            self.resume(id, met, out);
+        for (id, injected) in self.drills.apply_state(self.now, agreed, failed_permille) {
+            self.resume(id, injected, out);
         }
     }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -28,9 +28,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Sender, channel};
 
-/// How long a connection to a server may take to come up.
+/// How long a connection to a server may take to be established.
 const SERVER_CONNECT_TIMEOUT_US: Micros = 600_000;
-/// How long an answer that has begun may take to bring its next piece.
+/// How long an answer that has begun may take to be complete or to bring its next 64 KB.
 const ANSWER_STALL_TIMEOUT_US: Micros = 2_000_000;
 /// How long an idle connection to a server is kept if the server names no time.
 const SERVER_IDLE_US: Micros = 8_000_000;
@@ -43,16 +43,16 @@
 const DEFAULT_LIMITS: (usize, usize, u64, u64) = (16 * 1024, 1 << 20, 3_000_000, 15_000_000);
 /// Descriptors reserved for files and everything else that is not a connection.
 const RESERVED_DESCRIPTORS: u64 = 232;
-/// After a signal to stop, new connections are accepted for this long, as clients still connect by what they were told
-/// before.
+/// After a signal to stop, new connections are accepted for this long: the proxy is no longer ready, but clients that
+/// do not know it yet still connect.
 const KEEP_ACCEPTING_US: Micros = 1_500_000;
 /// How long the proxy waits after closing the listener for connections that had arrived before.
 const LISTENER_CLOSE_US: Micros = 50_000;
-/// What is left of the grace period when requests that are still in flight are abandoned.
+/// Requests that are still in flight are abandoned this long before the grace period ends.
 const GRACE_RESERVE_US: Micros = 500_000;
 /// The grace period where the settings name none, in seconds.
 const DEFAULT_GRACE_S: f64 = 5.0;
-/// The retry budget where the settings name none: a part of the requests, and so many more.
+/// The retry budget where the settings name none: a fraction of the requests, and a fixed number on top of that.
 const DEFAULT_RETRY: (f64, f64) = (0.2, 50.0);
 
 /// What the main loop is told.
@@ -74,16 +74,17 @@
 
 fn run_proxy(mut runtime: Runtime) -> Result<()> {
     let event_loop = runtime.event_loop::<Message>()?;
-    let (inbox, room) = (event_loop.inbox.clone(), runtime.room(event_loop.clock, RESERVED_DESCRIPTORS)?);
+    let (inbox, resources) =
+        (event_loop.inbox.clone(), runtime.room(event_loop.clock, RESERVED_DESCRIPTORS)?);
     let s = &runtime.settings;
     let status = Arc::new(Status::default());
     let handler = Arc::new(ClientHandler { inbox: inbox.clone(), status: status.clone() });
     let listen = s.front_plain()?;
-    let listener = Listener::start(listen, room.clone(), handler);
+    let listener = Listener::start(listen, resources.clone(), handler);
     let listener = listener.map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     if let Ok(listen) = s.readiness() {
         let handler = Arc::new(ReadinessHandler { status: status.clone() });
-        Listener::start(listen, room.clone(), handler)
+        Listener::start(listen, resources.clone(), handler)
             .map_err(|e| miette!("cannot listen on {listen}: {e}"))?;
     }
     let messages = inbox.clone();
@@ -110,7 +111,8 @@
         hold_us: b.contact_ms.map_or(usual.hold_us, ms),
     };
     let exposure = Exposure::from_settings(b.exposure_share, b.exposure_margin);
-    let place = ProxySettings { ip: s.ip, zone, region, zones, leeway, booking_times: times, exposure };
+    let proxy_settings =
+        ProxySettings { ip: s.ip, zone, region, zones, leeway, booking_times: times, exposure };
     let node = Node {
         ip: s.ip,
         name: s.name.clone(),
@@ -121,8 +123,8 @@
     let (beat_us, now) = (s.beat_period_ms * 1000, event_loop.clock.now());
     let (finished, finished_receiver) = channel();
     let grace_us = (s.bounds.grace_period_s.unwrap_or(DEFAULT_GRACE_S) * 1e6) as Micros;
-    let shell = Shell {
-        dispatcher: Dispatcher::new(place, beat_us, runtime.life, now),
+    let proxy_loop = ProxyLoop {
+        dispatcher: Dispatcher::new(proxy_settings, beat_us, runtime.life, now),
         failure_detector: FailureDetector::new(node.clone(), beat_us / 3, runtime.life, now),
         datagrams,
         feed: Feed::new(node, s.zones.clone(), runtime.seeds(), beat_us, runtime.life, now),
@@ -133,7 +135,7 @@
         servers: Arc::new(Servers::new(report_to(inbox.clone()))),
         peers: HashMap::new(),
         replies: HashMap::new(),
-        room,
+        resources,
         status,
         inbox,
         dispatcher_outputs: Vec::new(),
@@ -143,7 +145,7 @@
         grace_us,
         stop_requested_at: None,
     };
-    event_loop.run(shell, &finished_receiver)
+    event_loop.run(proxy_loop, &finished_receiver)
 }
 
 /// The status and limits that the listeners' connections read.
@@ -304,7 +306,7 @@
 }
 
 /// Drives the state machines and carries out their outputs.
-struct Shell {
+struct ProxyLoop {
     dispatcher: Dispatcher,
     feed: Feed,
     failure_detector: FailureDetector,
@@ -318,7 +320,7 @@
     servers: Arc<Servers>,
     peers: HashMap<u64, Peer<Servers>>,
     replies: HashMap<u64, Reply>,
-    room: Arc<Resources>,
+    resources: Arc<Resources>,
     status: Arc<Status>,
     inbox: Inbox<Message>,
     dispatcher_outputs: Vec<dispatcher::Output>,
@@ -331,7 +333,7 @@
     stop_requested_at: Option<Micros>,
 }
 
-impl Shell {
+impl ProxyLoop {
     fn pool_settings(&self) -> pool::Settings {
         pool::Settings {
             dial_us: SERVER_CONNECT_TIMEOUT_US,
@@ -373,14 +375,15 @@
                     }
                 }
                 dispatcher::Output::Answer(id, answer) => self.reply(id, |_| {}, answer),
+                // Faults of drills: the connection is closed in the middle of the body, or the body is sent slowly.
                 dispatcher::Output::Cut(id, answer) => self.reply(id, |a| a.cut = true, answer),
                 dispatcher::Output::Slow(id, answer, us) => self.reply(id, |a| a.pace_us = us, answer),
                 dispatcher::Output::Close(id) => {
                     let empty = dispatcher::Answer { status: 502, headers: Vec::new(), body: Vec::new() };
                     self.reply(id, |a| a.cut = true, empty);
                 }
-                dispatcher::Output::DrillFault { attempt_id, met, .. } => {
-                    let (epoch, fault) = (met.epoch, met.fault.name());
+                dispatcher::Output::DrillFault { attempt_id, injected, .. } => {
+                    let (epoch, fault) = (injected.epoch, injected.fault.name());
                     log::info!(
                         "drill {epoch}: fault {fault} for attempt {}",
                         String::from_utf8_lossy(&attempt_id)
@@ -388,11 +391,10 @@
                 }
                 dispatcher::Output::Server { server, peer, up } => {
                     let settings = self.pool_settings();
-                    let (room, servers) = (&self.room, &self.servers);
-                    let server = self
-                        .peers
-                        .entry(server)
-                        .or_insert_with(|| Peer::start(peer.addr, room.clone(), servers.clone(), settings));
+                    let (resources, servers) = (&self.resources, &self.servers);
+                    let server = self.peers.entry(server).or_insert_with(|| {
+                        Peer::start(peer.addr, resources.clone(), servers.clone(), settings)
+                    });
                     server.update(peer.addr, up);
                 }
                 dispatcher::Output::ServerRemoved { server } => {
@@ -513,9 +515,9 @@
         }
     }
 
-    /// Whether the proxy may exit after a signal to stop. New connections are accepted for a while, as clients still
-    /// connect by what they were told before; then the listener is closed, and each open connection ends with its last
-    /// answer.
+    /// Whether the proxy may exit after a signal to stop. New connections are accepted for a while, as clients that do
+    /// not know yet that the proxy is not ready still connect; then the listener is closed, and each open connection
+    /// ends with its last answer.
     fn is_finished(&self, now: Micros) -> bool {
         let Some(stop_requested_at) = self.stop_requested_at else { return false };
         if now >= stop_requested_at + KEEP_ACCEPTING_US {
@@ -528,7 +530,7 @@
     }
 }
 
-impl StateMachine for Shell {
+impl StateMachine for ProxyLoop {
     type Message = Message;
 
     fn handle(&mut self, now: Micros, message: Option<Message>) {
@@ -602,7 +604,7 @@
         // After a signal to stop, `is_finished` is checked this often.
         const FINISH_CHECK_US: Micros = 50_000;
         let finish_check =
-            self.stop_requested_at.map_or(Micros::MAX, |_| self.room.clock.now() + FINISH_CHECK_US);
+            self.stop_requested_at.map_or(Micros::MAX, |_| self.resources.clock.now() + FINISH_CHECK_US);
         self.dispatcher
             .wake_at()
             .min(self.feed.wake_at())
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -826,10 +826,10 @@
                     self.at(self.now + us, Ev::Slowly(n, life, id, Rc::new(answer)));
                 }
             }
-            dispatcher::Output::DrillFault { attempt_id, met, .. } => {
+            dispatcher::Output::DrillFault { attempt_id, injected, .. } => {
                 let attempt = std::str::from_utf8(&attempt_id).expect("text").parse().expect("a number");
                 let drills = &x.front.copy.state.drills.0;
-                let name = drills.values().find(|h| h.epoch == met.epoch).map(|h| h.drill.name.as_str());
+                let name = drills.values().find(|h| h.epoch == injected.epoch).map(|h| h.drill.name.as_str());
                 let of = self.record.rehearsals.iter().position(|r| Some(r.drill.name.as_str()) == name);
                 let (at, edge, of) = (self.now, self.host_of(me), of.expect("an operator's drill"));
                 self.record.met.push(record::Met { attempt, at, edge, of });
