--- a/crates/registry/src/rollouts.rs
+++ b/crates/registry/src/rollouts.rs
@@ -124,7 +124,7 @@
     }
 
     fn is_reporting(&self, rollout: &Rollout, ip: Ipv4Addr) -> bool {
-        self.tallies.is_heard(rollout.epoch, ip, self.current_from())
+        self.tallies.proxy_has_reported(rollout.epoch, ip, self.current_from())
     }
 
     fn enough_report(&self, rollout: &Rollout) -> bool {
--- a/crates/registry/src/rollouts/evidence.rs
+++ b/crates/registry/src/rollouts/evidence.rs
@@ -2,11 +2,13 @@
 //! often as wished.
 //!
 //! The share of bad answers of the new version is compared with that of the old one over the same time, plus a
-//! tolerance. The likelihood ratio is averaged over several larger shares (the mixture of Robbins 1970, used by
-//! Johari, Pekelis and Walsh 2017 for tests under continuous monitoring) and summed over all times at which the
-//! version may have turned bad (Roberts 1966). If the share is exactly at the tolerance, that sum is on average the
-//! number of evaluations, so it exceeds `evaluations / chance` with at most this chance, whenever one looks. The old
-//! version's share is itself an estimate, so one standard deviation is added to it.
+//! tolerance. How bad a bad version is, is not known: the likelihood ratio is averaged over several larger shares (the
+//! mixture of Robbins 1970, used by Johari, Pekelis and Walsh 2017 for tests under continuous monitoring). Nor is it
+//! known when it turned bad: the averages are summed over all times at which it may have (Roberts 1966). If the share
+//! is exactly at the tolerance, that sum is on average the number of evaluations. By Markov's inequality it then
+//! exceeds `evaluations / chance` with at most this chance, whenever one looks. The chance
+//! is divided by the number of tests. The old version's share is itself an estimate, so one standard deviation is added
+//! to it.
 
 use super::tallies::Interval;
 use cluster::rollout::{Answers, RouteTally};
@@ -17,25 +19,28 @@
 /// Tolerated differences in the shares of failed and of slow answers, because servers of one version differ too.
 const FAILED_TOLERANCE: f64 = 0.03;
 const SLOW_TOLERANCE: f64 = 0.04;
-/// The test looks for versions whose share of bad answers is larger than tolerated by these parts of the remaining
-/// answers.
+/// The larger shares of bad answers that the test looks for are `tolerated + (1 - tolerated) * excess`, for each of
+/// these.
 const EXCESS_SHARES: [f64; 6] = [0.05, 0.1, 0.2, 0.35, 0.5, 0.8];
 /// With fewer bad answers a version is not reverted, and with fewer failed ones it is not held back.
 const MIN_BAD_ANSWERS: u32 = 5;
 const MIN_DOUBTFUL_FAILED: u32 = 3;
 /// With fewer slow answers, of which a good version has some too, it is not held back either.
 const MIN_DOUBTFUL_SLOW: u32 = 8;
-/// Likelihood ratios that are enough to wait: over any span of time, and over all of it.
+/// With enough bad answers, a version is doubtful from this likelihood ratio on, over the best single span: the larger
+/// shares then explain the counts 20 times as well, on average, as the tolerated share.
 const DOUBT_ANY_SPAN: f64 = 20.0;
+/// It is doubtful from this ratio on over the whole span, which is the longest. Less than 1 is enough there: the share
+/// is above the tolerated one, and the larger shares explain the counts at least half as well, on average.
 const DOUBT_WHOLE_SPAN: f64 = 0.5;
 /// The old version's share is taken over a span long enough to have this many of its answers.
 const MIN_OLD_ANSWERS: u32 = 100;
 /// On one route, this many answers with the share of all routes are added to the old version's, so that a route with
 /// little traffic has an estimate too.
 const PRIOR_ANSWERS: f64 = 50.0;
-/// An answer is slow if it is more than `SLOW_BUCKETS` buckets above the one that at most this part of the old
-/// version's answers exceeds.
-const SLOW_PART: f64 = 0.25;
+/// The lowest bucket above which there is at most this part of the old version's answers is the one to compare with: an
+/// answer is slow if it is more than `SLOW_BUCKETS` buckets above that one.
+const SLOW_QUANTILE: f64 = 0.25;
 const SLOW_BUCKETS: usize = 2;
 /// With fewer timed answers of the old version, times are not compared.
 const MIN_TIMED_ANSWERS: u32 = 40;
@@ -76,7 +81,7 @@
 
     /// The logarithm of the likelihood ratio: how much likelier the counts are under shares larger than `tolerated`,
     /// averaged over these, than under `tolerated`.
-    fn likelihood_ratio(self, tolerated: f64) -> f64 {
+    fn log_likelihood_ratio(self, tolerated: f64) -> f64 {
         let (bad, good) = (f64::from(self.part), f64::from(self.whole - self.part));
         let of = |excess: f64| {
             let larger = tolerated + (1.0 - tolerated) * excess;
@@ -116,7 +121,7 @@
     }
 
     /// The old version's share to compare with for a span.
-    fn old(&self, span: usize) -> Share {
+    fn old_baseline(&self, span: usize) -> Share {
         let enough = self.old[span..].iter().find(|o| o.whole >= MIN_OLD_ANSWERS).or(self.old.last());
         enough.copied().unwrap_or_default()
     }
@@ -145,8 +150,8 @@
 
     /// The largest share of bad answers that is tolerated over a span.
     fn tolerated(&self, span: usize) -> f64 {
-        let old = self.spans.old(span);
-        let expected = match self.all.map(|all| all.old(span).upper()) {
+        let old = self.spans.old_baseline(span);
+        let expected = match self.all.map(|all| all.old_baseline(span).upper()) {
             Some(all) => all.max(old.upper_beside(PRIOR_ANSWERS * all, PRIOR_ANSWERS)),
             None => old.upper(),
         };
@@ -217,7 +222,7 @@
     if whole < MIN_TIMED_ANSWERS {
         return None;
     }
-    let most = (f64::from(whole) * SLOW_PART) as u32;
+    let most = (f64::from(whole) * SLOW_QUANTILE) as u32;
     let mut beyond = 0;
     let from = (0..old.len()).rev().find(|n| {
         beyond += old[*n];
@@ -233,7 +238,7 @@
         let tolerated = comparison.tolerated(span);
         // A share within the tolerance adds next to nothing.
         if f64::from(new.part) > tolerated * f64::from(new.whole) {
-            ratios.push((new.likelihood_ratio(tolerated), span));
+            ratios.push((new.log_likelihood_ratio(tolerated), span));
         }
     }
     let Some(&(strongest, span)) = ratios.iter().max_by(|a, b| a.0.total_cmp(&b.0)) else {
--- a/crates/registry/src/rollouts/tallies.rs
+++ b/crates/registry/src/rollouts/tallies.rs
@@ -26,11 +26,13 @@
     }
 }
 
-/// The last tally of each life (process start) of a proxy for each rollout, and the sums of all tallies by time.
+/// The last tally of each proxy for each rollout, and the sums of all tallies by time. Each start of a proxy's process
+/// is a life of its own, with its own tallies.
 #[derive(Default)]
 pub struct Tallies {
     latest: BTreeMap<(Rev, Ipv4Addr, u64), (Tally, Micros)>,
-    /// By epoch of the rollout, the oldest interval first. What a proxy has counted stays when the proxy ends.
+    /// By epoch of the rollout, the oldest interval first.
+    /// What a proxy has counted stays in these sums after its process ends.
     intervals: BTreeMap<Rev, Vec<Interval>>,
     /// Tallies that the other registries have not received yet.
     unsent: Vec<Tally>,
@@ -83,7 +85,7 @@
     }
 
     /// Whether this proxy has reported on a rollout since `from`.
-    pub(super) fn is_heard(&self, epoch: Rev, ip: Ipv4Addr, from: Micros) -> bool {
+    pub(super) fn proxy_has_reported(&self, epoch: Rev, ip: Ipv4Addr, from: Micros) -> bool {
         self.recent(epoch, ip, from).next().is_some()
     }
 
@@ -94,7 +96,8 @@
             && self.recent(rollout.epoch, ip, from).all(|t| t.old_out == 0)
     }
 
-    /// The same, whatever it has in flight.
+    /// Whether this proxy has reported since `from`, and has applied the current stage in each of its lives that did.
+    /// It may still have requests in flight at old servers.
     pub(super) fn has_applied_stage(&self, rollout: &Rollout, ip: Ipv4Addr, from: Micros) -> bool {
         let mut recent = self.recent(rollout.epoch, ip, from).peekable();
         recent.peek().is_some() && recent.all(|t| t.rev >= rollout.stage_rev)
