--- a/crates/net/src/listener/model.rs
+++ b/crates/net/src/listener/model.rs
@@ -148,7 +148,18 @@
     CutLooksWhole,
 }
 
-/// Runs one connection; returns what went wrong, if anything.
+/// Runs one connection whose client sends the requests `sent`, indexes into `REQUESTS`; returns what went wrong, if
+/// anything. The first word says what:
+///
+/// | Word | Fault |
+/// |---|---|
+/// | `HEARD` | The handler received other requests than were sent, or in another order. |
+/// | `OWED` | At the end a request was not answered, and not reported as gone or reported so without cause. |
+/// | `GARBLED` | What the client reads is not the complete head of an answer. |
+/// | `UNFRAMED` | The head of an answer gives no length. |
+/// | `UNASKED` | An answer follows the last one due: the connection was to be closed, or no request is left. |
+/// | `MIXED` | An answer has not the body of its request, nor the start of it if one was cut. |
+/// | `SHORT` | A body ends early although no answer was cut, or the connection has not ended. |
 fn run(
     resources: &Arc<Resources>,
     alarm: &Alarm,
@@ -287,7 +298,8 @@
     Arc::new(Resources::new(4000, 64, clock, alarms, Box::new(|_| {})))
 }
 
-/// Runs all sequences of events with these requests; returns how many ran, and the first fault found.
+/// Runs all sequences of events with the requests `sent`, indexes into `REQUESTS`.
+/// Returns how many ran, and the first fault found.
 fn run_all(sent: &[usize], planted: Option<PlantedFault>) -> (u64, Option<String>) {
     let (resources, alarm) = (resources(), Alarm::new(Clock::start()).expect("a timer"));
     let mut tape = Tape::new(None);
