--- a/crates/consensus/src/sim/catching_up.rs
+++ b/crates/consensus/src/sim/catching_up.rs
@@ -12,6 +12,8 @@
 
 const MS: Micros = 1000;
 const SECOND: Micros = 1000 * MS;
+/// The number of the empty disk that a member gets in place of its own.
+const REPLACED_DISK: Disk = 4711;
 /// Bytes of a frame beside its content.
 const FRAME_OVERHEAD: usize = 4 + 66;
 
@@ -35,24 +37,29 @@
     /// Number and bytes of the entries since the last snapshot.
     since_snapshot: (u64, usize),
     syncs: usize,
-    /// The highest index acknowledged when it started or became leader. If it claims to be up to date, it has at least
-    /// that.
+    /// The highest index acknowledged when this node started or last became leader. When the node claims to be up to
+    /// date, it must have applied at least this index.
     acked_at_start: u64,
+    /// Whether this node led at the previous check.
     was_leader: bool,
 }
 
 /// The conditions of a run.
 #[derive(Clone, Copy)]
 struct Conditions {
-    /// Bandwidth and delay of a link.
+    /// Bandwidth of a link, in megabits a second.
     mbps: f64,
+    /// Delay of a link.
     delay: Micros,
     /// How long a sync of a disk takes.
     sync: Micros,
-    /// Bytes of the host's state and of an entry, and the time between two entries.
+    /// Bytes of the host's state.
     state: usize,
+    /// Bytes of an entry's data; 8 if this is less.
     entry: usize,
+    /// Time between two entries of the client.
     pause: Micros,
+    /// The setting `log_tail_entries` of each replica.
     tail: u64,
 }
 
@@ -142,7 +149,7 @@
             cluster.start(node);
         }
         cluster.schedule(0, Event::Client);
-        let led = cluster.run_until(20 * SECOND, |w| w.leader().is_some());
+        let led = cluster.run_until(20 * SECOND, |cluster| cluster.leader().is_some());
         led.expect("a leader");
         cluster
     }
@@ -431,7 +438,7 @@
             self.propose();
             self.run(10 * MS);
         }
-        self.run_until(120 * SECOND, |w| w.acked >= target).expect("acknowledged");
+        self.run_until(120 * SECOND, |cluster| cluster.acked >= target).expect("acknowledged");
     }
 
     fn bytes_sent_to(&self, to: usize) -> u64 {
@@ -449,17 +456,19 @@
 /// A follower of three members is down while `changes` are made and comes back. Returns the time in ms until it has
 /// caught up, and the bytes sent to it.
 fn restart_after_changes(changes: u64, conditions: Conditions) -> Result<(Micros, u64), String> {
-    let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, None);
-    w.make_changes(5);
-    let node = (w.leader().expect("leads") + 1) % 3;
-    w.crash(node, false);
-    w.make_changes(changes);
-    let target = w.acked;
-    w.conditions.mbps = conditions.mbps;
-    let before = w.bytes_sent_to(node);
-    w.start(node);
-    let time = w.run_until(600 * SECOND, |w| w.nodes[node].applied >= target && w.is_caught_up(node))?;
-    Ok((time / MS, w.bytes_sent_to(node) - before))
+    let mut cluster = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, None);
+    cluster.make_changes(5);
+    let node = (cluster.leader().expect("leads") + 1) % 3;
+    cluster.crash(node, false);
+    cluster.make_changes(changes);
+    let target = cluster.acked;
+    cluster.conditions.mbps = conditions.mbps;
+    let before = cluster.bytes_sent_to(node);
+    cluster.start(node);
+    let time = cluster.run_until(600 * SECOND, |cluster| {
+        cluster.nodes[node].applied >= target && cluster.is_caught_up(node)
+    })?;
+    Ok((time / MS, cluster.bytes_sent_to(node) - before))
 }
 
 fn join_with_empty_disk(
@@ -467,19 +476,19 @@
     fault: Option<Fault>,
     limit: Micros,
 ) -> Result<(Micros, u64, Cluster), String> {
-    let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, fault);
-    w.make_changes(600);
-    let leader = w.leader().expect("leads");
+    let mut cluster = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, fault);
+    cluster.make_changes(600);
+    let leader = cluster.leader().expect("leads");
     let node = (leader + 1) % 3;
-    w.crash(node, false);
-    w.nodes[node].disk = 4711;
-    w.nodes[node].saved = PersistentState::empty();
-    (w.conditions.mbps, w.clients_idle) = (conditions.mbps, false);
-    let before = w.bytes_sent_to(node);
-    w.start(node);
-    let time = w.run_until(limit, |w| w.is_caught_up(node))?;
-    let bytes = w.bytes_sent_to(node) - before;
-    Ok((time / MS, bytes, w))
+    cluster.crash(node, false);
+    cluster.nodes[node].disk = REPLACED_DISK;
+    cluster.nodes[node].saved = PersistentState::empty();
+    (cluster.conditions.mbps, cluster.clients_idle) = (conditions.mbps, false);
+    let before = cluster.bytes_sent_to(node);
+    cluster.start(node);
+    let time = cluster.run_until(limit, |cluster| cluster.is_caught_up(node))?;
+    let bytes = cluster.bytes_sent_to(node) - before;
+    Ok((time / MS, bytes, cluster))
 }
 
 /// A state of many chunks, over a link that takes seconds for it.
@@ -518,24 +527,24 @@
 /// A follower of three members comes back after hundreds of changes, while more are made, over a link that takes
 /// seconds for the state.
 fn restart_behind(conditions: Conditions, fault: Option<Fault>) -> (Cluster, usize) {
-    let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, fault);
-    w.make_changes(5);
-    let node = (w.leader().expect("leads") + 1) % 3;
-    w.crash(node, false);
-    w.make_changes(600);
-    (w.conditions.mbps, w.clients_idle) = (conditions.mbps, false);
-    w.start(node);
-    (w, node)
+    let mut cluster = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, fault);
+    cluster.make_changes(5);
+    let node = (cluster.leader().expect("leads") + 1) % 3;
+    cluster.crash(node, false);
+    cluster.make_changes(600);
+    (cluster.conditions.mbps, cluster.clients_idle) = (conditions.mbps, false);
+    cluster.start(node);
+    (cluster, node)
 }
 
 #[test]
-fn a_slow_link_deposes_no_leader_and_loses_nothing_of_a_transfer() {
-    let (mut w, node) = restart_behind(Conditions { mbps: 0.5, state: 500_000, ..LARGE_STATE }, None);
-    let (leader, term) = (w.leader(), w.nodes[node].saved.hard.term);
-    let us = w.run_until(30 * SECOND, |w| w.is_caught_up(node)).expect("caught up");
+fn a_snapshot_transfer_over_a_slow_link_neither_deposes_the_leader_nor_starts_over() {
+    let (mut cluster, node) = restart_behind(Conditions { mbps: 0.5, state: 500_000, ..LARGE_STATE }, None);
+    let (leader, term) = (cluster.leader(), cluster.nodes[node].saved.hard.term);
+    let us = cluster.run_until(30 * SECOND, |cluster| cluster.is_caught_up(node)).expect("caught up");
     // 8 s for the state, and the other messages.
     assert!(us < 14 * SECOND, "{us}");
-    assert_eq!((w.leader(), w.nodes[node].saved.hard.term), (leader, term));
+    assert_eq!((cluster.leader(), cluster.nodes[node].saved.hard.term), (leader, term));
 }
 
 #[test]
@@ -543,15 +552,15 @@
     // 100 entries of 20 KB, fewer than call for a snapshot, and a state of many chunks.
     for (state, changes) in [(2_000_000, 100), (2_000_000, 600)] {
         let conditions = Conditions { mbps: 4.0, entry: 20_000, state, pause: SECOND, ..LARGE_STATE };
-        let mut w = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, None);
-        w.make_changes(5);
-        let node = (w.leader().expect("leads") + 1) % 3;
-        w.crash(node, false);
-        w.make_changes(changes);
-        (w.conditions.mbps, w.max_link_wait, w.links) = (4.0, 0, BTreeMap::new());
-        w.start(node);
-        w.run_until(60 * SECOND, |w| w.is_caught_up(node)).expect("caught up");
-        assert!(w.max_link_wait < 800 * MS, "{changes}: {} us", w.max_link_wait);
+        let mut cluster = Cluster::new(3, Conditions { mbps: 1000.0, ..conditions }, None);
+        cluster.make_changes(5);
+        let node = (cluster.leader().expect("leads") + 1) % 3;
+        cluster.crash(node, false);
+        cluster.make_changes(changes);
+        (cluster.conditions.mbps, cluster.max_link_wait, cluster.links) = (4.0, 0, BTreeMap::new());
+        cluster.start(node);
+        cluster.run_until(60 * SECOND, |cluster| cluster.is_caught_up(node)).expect("caught up");
+        assert!(cluster.max_link_wait < 800 * MS, "{changes}: {} us", cluster.max_link_wait);
     }
 }
 
@@ -584,9 +593,10 @@
         },
     ];
     for (at, policy) in policies.into_iter().enumerate() {
-        let (mut w, node) = restart_behind(Conditions { mbps: 10.0, ..LARGE_STATE }, None);
-        w.delivery_policy = policy;
-        let result = w.run_until(90 * SECOND, |w| w.is_caught_up(node) && w.installed > 0);
+        let (mut cluster, node) = restart_behind(Conditions { mbps: 10.0, ..LARGE_STATE }, None);
+        cluster.delivery_policy = policy;
+        let result =
+            cluster.run_until(90 * SECOND, |cluster| cluster.is_caught_up(node) && cluster.installed > 0);
         result.unwrap_or_else(|e| panic!("policy {at}: {e}"));
     }
 }
@@ -594,44 +604,45 @@
 /// The leader crashes when a part of its snapshot has been received. The next leader's snapshot is a different one.
 fn leader_restarts_during_transfer(fault: Option<Fault>) -> Result<(), String> {
     for point in 1..12 {
-        let (mut w, node) = restart_behind(LARGE_STATE, fault);
-        w.run(point * 400 * MS);
-        let leader = w.leader().expect("leads");
-        w.crash(leader, true);
-        w.run(100 * MS);
-        w.start(leader);
-        w.run_until(60 * SECOND, |w| w.is_caught_up(node) && w.is_caught_up(leader))
+        let (mut cluster, node) = restart_behind(LARGE_STATE, fault);
+        cluster.run(point * 400 * MS);
+        let leader = cluster.leader().expect("leads");
+        cluster.crash(leader, true);
+        cluster.run(100 * MS);
+        cluster.start(leader);
+        cluster
+            .run_until(60 * SECOND, |cluster| cluster.is_caught_up(node) && cluster.is_caught_up(leader))
             .map_err(|e| format!("{point}: {e}"))?;
     }
     Ok(())
 }
 
 #[test]
-fn a_transfer_survives_its_leader_and_never_mixes_two_snapshots() {
+fn a_snapshot_transfer_completes_after_the_leader_restarts_and_never_mixes_two_snapshots() {
     leader_restarts_during_transfer(None).expect("caught up");
     let e = leader_restarts_during_transfer(Some(Fault::ChunksMixed)).expect_err("detected");
     assert!(e.contains("is not what was made"), "{e}");
 }
 
-/// A disk is replaced while a member is down, which learns of that only from a snapshot. There are five members, as an
-/// old membership of three has no majority without the member.
+/// One member is down while another's disk is replaced, so the first learns of the new disk only from a snapshot. There
+/// are five members: of three, the one that is down and the one with the replaced disk would leave no majority.
 #[test]
 fn a_snapshot_carries_the_membership() {
     let with_replaced_disk = |fault| {
-        let mut w = Cluster::new(5, DEFAULT_CONDITIONS, fault);
-        w.make_changes(5);
-        let leader = w.leader().expect("leads");
+        let mut cluster = Cluster::new(5, DEFAULT_CONDITIONS, fault);
+        cluster.make_changes(5);
+        let leader = cluster.leader().expect("leads");
         let (node, other) = ((leader + 1) % 5, (leader + 2) % 5);
-        w.crash(node, false);
-        w.crash(other, false);
-        (w.nodes[other].disk, w.nodes[other].saved) = (4711, PersistentState::empty());
-        w.start(other);
-        w.run_until(20 * SECOND, |w| w.is_caught_up(other))?;
-        w.make_changes(600);
-        w.start(node);
-        w.run_until(20 * SECOND, |w| w.is_caught_up(node))?;
-        let consensus = w.nodes[node].consensus.as_ref().expect("runs");
-        Ok(consensus.membership().contains(member(other), 4711))
+        cluster.crash(node, false);
+        cluster.crash(other, false);
+        (cluster.nodes[other].disk, cluster.nodes[other].saved) = (REPLACED_DISK, PersistentState::empty());
+        cluster.start(other);
+        cluster.run_until(20 * SECOND, |cluster| cluster.is_caught_up(other))?;
+        cluster.make_changes(600);
+        cluster.start(node);
+        cluster.run_until(20 * SECOND, |cluster| cluster.is_caught_up(node))?;
+        let consensus = cluster.nodes[node].consensus.as_ref().expect("runs");
+        Ok(consensus.membership().contains(member(other), REPLACED_DISK))
     };
     assert_eq!(with_replaced_disk(None), Ok(true));
     let e: String = with_replaced_disk(Some(Fault::SnapshotMembershipLost)).expect_err("detected");
@@ -644,23 +655,29 @@
     let mut cuts = 0;
     for point in 0..40 {
         let conditions = Conditions { mbps: 20.0, delay: 2 * MS, state: 500_000, ..LARGE_STATE };
-        let (mut w, node) = restart_behind(conditions, fault);
+        let (mut cluster, node) = restart_behind(conditions, fault);
         if point < 32 {
             let syncs = point / 2;
-            w.run_until(20 * SECOND, |w| w.nodes[node].write.is_some() && w.nodes[node].syncs >= syncs)?;
+            cluster.run_until(20 * SECOND, |cluster| {
+                cluster.nodes[node].write.is_some() && cluster.nodes[node].syncs >= syncs
+            })?;
         } else {
-            w.run((point as u64 - 31) * 25 * MS);
+            cluster.run((point as u64 - 31) * 25 * MS);
         }
-        cuts += usize::from(!w.is_caught_up(node));
-        w.crash(node, point % 2 == 0);
-        w.run(30 * MS);
-        w.start(node);
-        w.run_until(20 * SECOND, |w| w.is_caught_up(node)).map_err(|e| format!("{point}: {e}"))?;
+        cuts += usize::from(!cluster.is_caught_up(node));
+        cluster.crash(node, point % 2 == 0);
+        cluster.run(30 * MS);
+        cluster.start(node);
+        cluster
+            .run_until(20 * SECOND, |cluster| cluster.is_caught_up(node))
+            .map_err(|e| format!("{point}: {e}"))?;
         // Another member may crash now: what this one acknowledged is on its disk.
-        let leader = w.leader().expect("leads");
-        w.crash(leader, false);
-        let acked = w.acked;
-        w.run_until(20 * SECOND, |w| w.acked > acked + 5).map_err(|e| format!("{point}, then: {e}"))?;
+        let leader = cluster.leader().expect("leads");
+        cluster.crash(leader, false);
+        let acked = cluster.acked;
+        cluster
+            .run_until(20 * SECOND, |cluster| cluster.acked > acked + 5)
+            .map_err(|e| format!("{point}, then: {e}"))?;
     }
     Ok(cuts)
 }
@@ -668,7 +685,7 @@
 #[test]
 fn a_snapshot_install_interrupted_at_any_sync_is_resumed() {
     let cuts = interrupt_at_each_sync(None).expect("caught up");
-    assert!(cuts > 12, "{cuts} happened before it had caught up");
+    assert!(cuts > 12, "only {cuts} of 40 interruptions came before the member had caught up");
     let e = interrupt_at_each_sync(Some(Fault::AckInstallBeforeSync)).expect_err("detected");
     assert!(e.contains("its disk has"), "{e}");
 }
@@ -679,11 +696,11 @@
     let restart_during_transfer = |fault| {
         for point in 0..12 {
             let conditions = Conditions { mbps: 2.0, delay: 60 * MS, state: 500_000, ..LARGE_STATE };
-            let (mut w, node) = restart_behind(conditions, fault);
-            w.run(1000 * MS + point * 37 * MS);
-            w.crash(node, false);
-            w.start(node);
-            w.run_until(60 * SECOND, |w| w.is_caught_up(node))?;
+            let (mut cluster, node) = restart_behind(conditions, fault);
+            cluster.run(1000 * MS + point * 37 * MS);
+            cluster.crash(node, false);
+            cluster.start(node);
+            cluster.run_until(60 * SECOND, |cluster| cluster.is_caught_up(node))?;
         }
         Ok(())
     };
@@ -693,13 +710,13 @@
     // A new leader has all entries, but doesn't know that they are committed until an entry of its own term is.
     let with_new_leaders = |fault| {
         for point in 0..20 {
-            let mut w =
+            let mut cluster =
                 Cluster::new(3, Conditions { delay: 5 * MS, pause: 3 * MS, ..DEFAULT_CONDITIONS }, fault);
-            w.clients_idle = false;
-            w.run(2 * SECOND + point * 7 * MS);
-            let (leader, acked) = (w.leader().expect("leads"), w.acked);
-            w.crash(leader, false);
-            w.run_until(20 * SECOND, |w| w.acked > acked)?;
+            cluster.clients_idle = false;
+            cluster.run(2 * SECOND + point * 7 * MS);
+            let (leader, acked) = (cluster.leader().expect("leads"), cluster.acked);
+            cluster.crash(leader, false);
+            cluster.run_until(20 * SECOND, |cluster| cluster.acked > acked)?;
         }
         Ok(())
     };
@@ -713,19 +730,19 @@
 #[test]
 fn a_member_with_a_restored_old_disk_is_brought_up_to_date_by_the_same_leader() {
     for changes in [20, 700] {
-        let mut w = Cluster::new(3, DEFAULT_CONDITIONS, None);
-        w.make_changes(30);
-        let leader = w.leader().expect("leads");
+        let mut cluster = Cluster::new(3, DEFAULT_CONDITIONS, None);
+        cluster.make_changes(30);
+        let leader = cluster.leader().expect("leads");
         let node = (leader + 1) % 3;
-        let copy = w.nodes[node].saved.clone();
-        w.make_changes(changes);
-        w.crash(node, true);
-        w.nodes[node].saved = copy;
-        w.start(node);
-        let sent = w.sent;
-        w.run_until(10 * SECOND, |w| w.is_caught_up(node)).expect("caught up");
-        assert!(w.sent - sent < 400, "{} messages", w.sent - sent);
-        assert_eq!(w.leader(), Some(leader));
+        let copy = cluster.nodes[node].saved.clone();
+        cluster.make_changes(changes);
+        cluster.crash(node, true);
+        cluster.nodes[node].saved = copy;
+        cluster.start(node);
+        let sent = cluster.sent;
+        cluster.run_until(10 * SECOND, |cluster| cluster.is_caught_up(node)).expect("caught up");
+        assert!(cluster.sent - sent < 400, "{} messages", cluster.sent - sent);
+        assert_eq!(cluster.leader(), Some(leader));
     }
 }
 
