--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -3,6 +3,8 @@
 use curlewfront_config::{Config, Members};
 use serde_json::{Value, json};
 
+/// The keys are fixed by the format of the configuration, which comes from outside: `localities` are the zones,
+/// `tiersOfService` the plans.
 fn valid() -> Value {
     json!({
         "name": "n3", "listen": "127.0.0.1:9000", "discovery": "127.0.0.2:8500", "seed": "8c1f30d27a5be964",
