--- a/crates/consensus/tests/wire_samples.rs
+++ b/crates/consensus/tests/wire_samples.rs
@@ -174,12 +174,12 @@
 }
 
 fn samples() -> Vec<Sample> {
-    let mut all = of("Membership", vec![("", membership())]);
+    let mut all = of("Roster", vec![("", membership())]);
     all.extend(of("Payload", payloads()));
     all.extend(of("Entry", vec![("", Entry { term: 303, index: 304, payload: Payload::Data(vec![8]) })]));
     all.extend(of("Snapshot", vec![("", snapshot())]));
-    all.extend(of("HardState", vec![("", hard()), ("of_no_vote", HardState { vote: None, ..hard() })]));
-    all.extend(of("PersistentState", vec![("", saved())]));
+    all.extend(of("Hard", vec![("", hard()), ("of_no_vote", HardState { vote: None, ..hard() })]));
+    all.extend(of("Saved", vec![("", saved())]));
     let sent = messages().into_iter().map(|(name, message)| Sample {
         name: format!("Message.{name}"),
         bytes: encode(DISK, &message),
