--- a/crates/planchest/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,21 +1,21 @@
-//! The shell of the store of configuration: links, disk and time around `planchest::chest`.
+//! The shell of the store of configuration: links, disk and time around `config_store::chest`.
 
-use jig::settings::Settings;
+use cluster::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
+use config_store::chest::{Chest, Input, Output, Peer, Standing};
+use consensus::disk::Store;
+use consensus::{Saved, Write};
 use miette::{Result, miette};
-use planchest::chest::{Chest, Input, Output, Peer, Standing};
-use rack::talk::{STORE_LOCAL, STORE_PEERS, ToStore};
-use ratchet::disk::Store;
-use ratchet::{Saved, Write};
+use net::Micros;
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
+use settings::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
-use tongs::Micros;
 
 /// Between tries of a write that the disk refused.
 const REFUSED: Duration = Duration::from_millis(250);
@@ -31,7 +31,7 @@
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-planchest", "Keeps what curlewfront's machines agree on", work)
+    runtime::run("curlewfront-config-store", "Keeps what curlewfront's machines agree on", work)
 }
 
 /// So many that a majority is left when those are lost whose loss is to be borne; none: not told.
@@ -101,7 +101,7 @@
             loop {
                 let done = match &store {
                     Some(open) => open.write(&write),
-                    None => Err(ratchet::disk::DiskError {
+                    None => Err(consensus::disk::DiskError {
                         file: dir.clone(),
                         what: "cannot be opened again".into(),
                         full: false,
--- a/crates/planchest/tests/store.rs
+++ b/crates/config-store/tests/store.rs
@@ -1,11 +1,11 @@
 //! The store's folder in an operator's hands: checked, listed, backed up, put back, founded anew.
 
-use planchest::chest::{Chest, Input, Output};
-use planchest::store;
-use rack::state::{Command, State};
-use rack::talk::ToStore;
-use ratchet::disk::{self, Store};
-use ratchet::{Disk, Entry, Hard, Payload, Saved, Write};
+use cluster::state::{Command, State};
+use cluster::talk::ToStore;
+use config_store::chest::{Chest, Input, Output};
+use config_store::store;
+use consensus::disk::{self, Store};
+use consensus::{Disk, Entry, Hard, Payload, Saved, Write};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -148,7 +148,7 @@
 struct Site {
     now: u64,
     machines: BTreeMap<Ipv4Addr, (Chest, Saved)>,
-    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, planchest::chest::Peer)>,
+    on_the_way: VecDeque<(Ipv4Addr, Ipv4Addr, config_store::chest::Peer)>,
     acked: usize,
 }
 
@@ -173,7 +173,7 @@
                         inputs.push_back(Input::Written(write.number));
                     }
                     Output::Peer(to, peer) => self.on_the_way.push_back((who, to, peer)),
-                    Output::Local(_, rack::talk::FromStore::Proposed { result: Ok(_), .. }) => {
+                    Output::Local(_, cluster::talk::FromStore::Proposed { result: Ok(_), .. }) => {
                         self.acked += 1
                     }
                     Output::Local(..) => {}
--- a/crates/lab/src/system/machines.rs
+++ b/crates/lab/src/system/machines.rs
@@ -6,12 +6,12 @@
 use super::log::{Log, lock};
 use super::observed::LateHandlers;
 use super::{MS, all};
-use dryfit::Micros;
-use dryfit::record::Host;
-use jig::Scheme;
-use jig::scheme::{Part, Program};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
+use settings::Scheme;
+use settings::scheme::{Part, Program};
+use simulator::Micros;
+use simulator::record::Host;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -293,7 +293,7 @@
         };
         let mut processes = Vec::new();
         for part in scheme.parts(true).map_err(|e| e.to_string())? {
-            let binary = bin.join(format!("curlewfront-{}", part.program.name()));
+            let binary = bin.join(part.program.binary());
             if !binary.exists() {
                 return Err(format!("{}: no such program; `make system-demo` builds it", binary.display()));
             }
--- a/crates/lab/src/system/mod.rs
+++ b/crates/lab/src/system/mod.rs
@@ -1,4 +1,4 @@
-//! Days of the whole system with real processes: `curlewfront-planchest`, `-pegboard` and `-proxy` as child processes on
+//! Days of the whole system with real processes: `curlewfront-config-store`, `-registry` and `-proxy` as child processes on
 //! addresses of 127.0.0.0/8; servers, clients and an operator in this process; what they saw, judged by the same judge
 //! as days on simulated time. `docs/lab/system.md` says how it is used, and what it cannot play.
 
@@ -20,13 +20,6 @@
 mod watcher;
 
 use clients::Clients;
-use dryfit::hunt::unmet;
-use dryfit::judge::{Breach, judge};
-use dryfit::plan::{Plan, Wish};
-use dryfit::record::{Bounds, Record};
-use dryfit::scenario::Scenario;
-use dryfit::{MS, Micros, SECOND};
-use jig::Scheme;
 use jzon::JsonValue;
 use log::Log;
 use machines::{Block, Machines};
@@ -36,6 +29,13 @@
 use rollout_play::RolloutPlayer;
 use rollouts::{PlannedRollout, Script};
 use servers::Servers;
+use settings::Scheme;
+use simulator::hunt::unmet;
+use simulator::judge::{Breach, judge};
+use simulator::plan::{Plan, Wish};
+use simulator::record::{Bounds, Record};
+use simulator::scenario::Scenario;
+use simulator::{MS, Micros, SECOND};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
 
 /// The bounds of the rules as a settings file has them: what is judged is what the programs were told.
 fn told(b: &Bounds) -> JsonValue {
-    let mut out = jig::scheme::usual_bounds();
+    let mut out = settings::scheme::usual_bounds();
     let ms = |t: Micros| JsonValue::from(t / MS);
     let s = |t: Micros| JsonValue::from(t as f64 / 1e6);
     out["contact_ms"] = ms(b.contact);
--- a/crates/lab/src/system/servers.rs
+++ b/crates/lab/src/system/servers.rs
@@ -8,10 +8,10 @@
 use super::rollouts::{ERROR_PART, PlannedRollout, Quality, SLOW_TIMES, server_prefix};
 use super::{MS, SECOND, all};
 use crate::http::{Conn, Request, header, response};
-use dryfit::Micros;
-use dryfit::record::{Arrival, Cold, Leave};
-use dryfit::scenario::Scenario;
 use rand::{Rng, SeedableRng, rngs::StdRng};
+use simulator::Micros;
+use simulator::record::{Arrival, Cold, Leave};
+use simulator::scenario::Scenario;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -112,7 +112,7 @@
         let mut places: Vec<Place> = Vec::new();
         let mut add = |service: &str, prefix: String, n: usize, rollout: Option<&PlannedRollout>| {
             for i in 0..n {
-                let ip = jig::scheme::FIRST_SERVER + (places.len() % ADDRESSES) as u8;
+                let ip = settings::scheme::FIRST_SERVER + (places.len() % ADDRESSES) as u8;
                 let port = FIRST_PORT + (places.len() / ADDRESSES) as u16;
                 let (zone, region) = s.zones[i % s.zones.len()].clone();
                 places.push(Place {
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,5 +1,5 @@
 //! The soak: what its schedules hold, what its rules catch, and a short run of it. Every rule that it judges beside those of
-//! `dryfit` has a breach planted in the record of a good day.
+//! `simulator` has a breach planted in the record of a good day.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use curlewfront_lab::system::observed::{LateHandlers, Observed, Readiness, StaleAddress, TimeHanded};
 use curlewfront_lab::system::rollouts::Script;
 use curlewfront_lab::system::{self, rules};
-use dryfit::SECOND;
-use dryfit::hunt::play;
-use dryfit::record::{Answer, Host, Record, Trouble};
-use dryfit::scenario::Scenario;
+use simulator::SECOND;
+use simulator::hunt::play;
+use simulator::record::{Answer, Host, Record, Trouble};
+use simulator::scenario::Scenario;
 use std::path::PathBuf;
 
 const DAY: &str = "
@@ -213,7 +213,7 @@
 /// hang reaches.
 #[test]
 fn a_short_soak_keeps_all_rules() {
-    let bin = common::built(&["curlewfront-planchest", "curlewfront-pegboard", "curlewfront-proxy"]);
+    let bin = common::built(&["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"]);
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak");
     let (seeds, shape) = (vec![5, 6, 7], Shape::small());
     let options = Options { out, bin, seeds, shape, jobs: 3, processes: 100, keep_all: false };
@@ -229,7 +229,7 @@
 // their counts along. All rules are judged, too, as in the other days of the short run.
 #[test]
 fn a_short_soak_of_planned_work_completes_no_bad_version() {
-    let bin = common::built(&["curlewfront-planchest", "curlewfront-pegboard", "curlewfront-proxy"]);
+    let bin = common::built(&["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"]);
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak-planned");
     let script = Script::read(&schedule::draw(&Shape::small(), 5)).expect("a script");
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
--- a/crates/lab/tests/system.rs
+++ b/crates/lab/tests/system.rs
@@ -6,7 +6,7 @@
 use curlewfront_lab::system::observed::RolloutState;
 use curlewfront_lab::system::rollouts::Script;
 use curlewfront_lab::system::{self, Day, Options};
-use dryfit::record::Fate;
+use simulator::record::Fate;
 use std::path::PathBuf;
 
 fn play(name: &str, text: &str) -> Day {
@@ -17,7 +17,7 @@
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let script = Script::read(text).expect("a proper scenario");
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let bin = common::built(&["curlewfront-planchest", "curlewfront-pegboard", "curlewfront-proxy"]);
+    let bin = common::built(&["curlewfront-config-store", "curlewfront-registry", "curlewfront-proxy"]);
     let options = Options { out, bin, seed, loud: false, verbose: false };
     runtime.block_on(system::run(&script, &options)).expect("a day")
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,7 +1,15 @@
 //! The shell of the proxy: listeners, connections to servers and the link to the news, around `proxy::front` and
 //! `proxy::feed`.
 
+use cluster::Micros;
+use cluster::state::Node;
+use cluster::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use miette::{Result, miette};
+use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::http::{self, Bad, Bounds};
+use net::limits::Held;
+use net::pool::{self, Job, Peer};
+use net::room::Room;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::Times;
 use proxy::feed::{self, Feed};
@@ -9,9 +17,6 @@
 use proxy::rollout::Exposure;
 use proxy::servers::{self, Note};
 use proxy::watch::Watch;
-use rack::Micros;
-use rack::state::Node;
-use rack::talk::{Down, Here, PROXY_NEWS, PROXY_WATCH, REGISTRY_NEWS, Up};
 use runtime::datagram::{self, Datagrams};
 use runtime::link::{self, Event, Line, SILENCE};
 use runtime::turn::{Inbox, Machine};
@@ -22,11 +27,6 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Sender, channel};
-use tongs::door::{Answer, Desk, Door, Heard, Patience, Reply};
-use tongs::http::{self, Bad, Bounds};
-use tongs::limits::Held;
-use tongs::pool::{self, Job, Peer};
-use tongs::room::Room;
 
 /// For a server to take a connection.
 const DIAL_US: Micros = 600_000;
@@ -253,11 +253,11 @@
     }
 
     fn head(&self, head: &http::Request) -> Result<Heard<()>, Bad> {
-        Ok(Heard::Say(match jig::api::Call::of(head.method, head.target) {
-            Some((jig::api::Call::Ready, _)) if self.shown.ready.load(Ordering::Relaxed) => {
+        Ok(Heard::Say(match settings::api::Call::of(head.method, head.target) {
+            Some((settings::api::Call::Ready, _)) if self.shown.ready.load(Ordering::Relaxed) => {
                 Answer::text(200, "ready\n")
             }
-            Some((jig::api::Call::Ready, _)) => Answer::text(503, "not ready\n"),
+            Some((settings::api::Call::Ready, _)) => Answer::text(503, "not ready\n"),
             _ => Answer::text(404, "no such call\n"),
         }))
     }
--- a/crates/pegboard/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,11 +1,15 @@
-//! The shell of the registry: listeners and links around `pegboard::board`. It takes the outside calls for the store of
+//! The shell of the registry: listeners and links around `registry::board`. It takes the outside calls for the store of
 //! configuration too.
 
+use cluster::Rev;
+use cluster::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
 use miette::{Result, miette};
-use pegboard::board::{Board, Input, Output, REPEAT_US, Terms};
-use pegboard::calls::{self, Request};
-use rack::Rev;
-use rack::talk::{FromStore, Gossip, REGISTRY_NEWS, REGISTRY_PEERS, STORE_LOCAL, Up};
+use net::Micros;
+use net::door::{Answer, Desk, Door, Heard, Patience, Reply};
+use net::http::{self, Bad, Bounds};
+use net::limits::Held;
+use registry::board::{Board, Input, Output, REPEAT_US, Terms};
+use registry::calls::{self, Request};
 use runtime::link::{Event, Line, SILENCE, Tie};
 use runtime::turn::{Inbox, Machine};
 use runtime::{Asked, Start};
@@ -16,10 +20,6 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Sender, channel};
 use std::time::{SystemTime, UNIX_EPOCH};
-use tongs::Micros;
-use tongs::door::{Answer, Desk, Door, Heard, Patience, Reply};
-use tongs::http::{self, Bad, Bounds};
-use tongs::limits::Held;
 
 /// What is left to callers that are being answered when the program is asked to end.
 const PARTING_US: Micros = 700_000;
@@ -41,7 +41,7 @@
 }
 
 fn main() -> ExitCode {
-    runtime::run("curlewfront-pegboard", "Knows curlewfront's servers and proxies, and takes the calls", work)
+    runtime::run("curlewfront-registry", "Knows curlewfront's servers and proxies, and takes the calls", work)
 }
 
 fn work(mut start: Start) -> Result<()> {
--- a/crates/pegboard/tests/drills.rs
+++ b/crates/registry/tests/drills.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
+use cluster::drill::{DrillChange, Rows, Said};
+use cluster::state::{Change, Command};
+use cluster::talk::{Down, Gossip, Lease, Up};
 use common::*;
-use pegboard::board::{Input, Output};
-use rack::drill::{DrillChange, Rows, Said};
-use rack::state::{Change, Command};
-use rack::talk::{Down, Gossip, Lease, Up};
+use registry::board::{Input, Output};
 
 fn registry() -> Registry {
     let change = Change { base: 0, patch: false, body: config(1).into_bytes() };
@@ -100,7 +100,7 @@
     let mut r = registry();
     r.tell(Input::Proxy(5, Up::Hello { node: node(1, "north-a"), rev: 0 }));
     let start = |name| {
-        let drill = jig::drill::Drill::read(name, body(REED, LOST).as_bytes()).expect("a drill");
+        let drill = settings::drill::Drill::read(name, body(REED, LOST).as_bytes()).expect("a drill");
         Command::Drill(DrillChange::Start(Box::new(drill)))
     };
     let (epoch, _) = r.lands(start("x"));
--- a/crates/dryfit/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -4,8 +4,8 @@
 
 use crate::world::{Ev, World};
 use crate::{MS, Micros, SECOND};
-use pegboard::calls;
-use rack::talk::Here;
+use cluster::talk::Here;
+use registry::calls;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
--- a/crates/dryfit/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -6,23 +6,23 @@
 use crate::record;
 use crate::world::{Ev, World};
 use crate::{MS, Micros};
-use pegboard::board::{self, Board, Terms};
-use planchest::chest::{self, Chest, Peer};
+use cluster::booking::{BookChange, Booking, Phase, Unused, divide};
+use cluster::state::{Command, Node, State};
+use cluster::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
+use config_store::chest::{self, Chest, Peer};
+use consensus::{Saved, Write};
+use net::limits::Held;
 use proxy::book::{Leeway, Place};
 use proxy::cramp::{Shown, Times};
 use proxy::feed::{self, Feed};
 use proxy::front::{self, Ask, End, Front, Reached, Served};
 use proxy::watch::Watch;
-use rack::booking::{BookChange, Booking, Phase, Unused, divide};
-use rack::state::{Command, Node, State};
-use rack::talk::{Down, FromStore, Gossip, Here, ToStore, Up};
-use ratchet::{Saved, Write};
+use registry::board::{self, Board, Terms};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
-use tongs::limits::Held;
 
 /// As the shells have them.
 const PARTING: Micros = 700 * MS;
@@ -225,7 +225,7 @@
                     sync_us: self.record.bounds.sync,
                     settle_us: self.record.bounds.config_apply,
                     zones_lost: 1,
-                    repeat_us: pegboard::board::REPEAT_US,
+                    repeat_us: registry::board::REPEAT_US,
                 };
                 let board = Board::new(terms, 0);
                 let (store, peers, calls) = Default::default();
--- a/crates/dryfit/tests/weigh.rs
+++ b/crates/simulator/tests/weigh.rs
@@ -1,9 +1,9 @@
 //! Sizes of the system, one part varied at a time: what is counted follows the part that was varied, and only that.
 
-use dryfit::load::{self, Size};
-use dryfit::plan::Plan;
-use dryfit::scenario::Scenario;
-use dryfit::weigh::{Lot, PeakAlloc, Weighed, plan, usage, weigh};
+use simulator::load::{self, Size};
+use simulator::plan::Plan;
+use simulator::scenario::Scenario;
+use simulator::weigh::{Lot, PeakAlloc, Weighed, plan, usage, weigh};
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -35,7 +35,7 @@
     assert!(plan.routes.iter().all(|r| (r.kind == "unsafe") == (r.to[0].0 == "utu")), "kinds go by service");
     let names: BTreeSet<&String> = plan.routes.iter().map(|r| &r.name).collect();
     assert_eq!(names.len(), 8);
-    jig::Config::read(plan.whole().as_bytes()).expect("a proper configuration");
+    settings::Config::read(plan.whole().as_bytes()).expect("a proper configuration");
 }
 
 #[test]
@@ -46,7 +46,7 @@
     assert_eq!(s.servers.iter().map(|x| x.1).sum::<usize>(), 12);
     assert_eq!((s.edges, s.tenants, s.routes, s.clients), (4, 40, 6, 40));
     let (_, record) = load::measure(size, 1).expect("it is played");
-    let breaches = dryfit::judge::judge(&record);
+    let breaches = simulator::judge::judge(&record);
     assert!(breaches.is_empty(), "{}: {}", breaches[0].rule, breaches[0].what);
     let tenants: BTreeSet<usize> = record.requests.iter().map(|r| r.tenant).collect();
     assert!(tenants.len() > 20, "more tenants than proxies ask for something: {}", tenants.len());
@@ -91,5 +91,5 @@
     assert!(asked.len() > LOT.active, "each has some of its own");
     assert_eq!(weighed(LOT).readings.0, asked.len());
     let text = plan(&LOT).whole();
-    assert_eq!(jig::Config::read(text.as_bytes()).expect("proper").tenants.map(|t| t.len()), Some(60));
+    assert_eq!(settings::Config::read(text.as_bytes()).expect("proper").tenants.map(|t| t.len()), Some(60));
 }
